--- a/adapter/keeper/client.go
+++ b/adapter/keeper/client.go
@@ -54,7 +54,7 @@
 	Dropped func(call string, why versioner.Verdict)
 
 	eraMu sync.Mutex
-	eras  versioner.Eras
+	eras  versioner.EraTracker
 
 	once    sync.Once
 	budget  *rate.Limiter
@@ -159,13 +159,13 @@
 func (c *Client) place(r *request, stated string) error {
 	c.eraMu.Lock()
 	before := c.eras.Current()
-	verdict := c.eras.Judge(stated)
+	verdict := c.eras.Check(stated)
 	r.era = c.eras.Current()
 	c.eraMu.Unlock()
 	if verdict == versioner.Later && c.Renewed != nil {
 		c.Renewed(before, r.era)
 	}
-	if verdict.Counts() {
+	if verdict.IsAccepted() {
 		return nil
 	}
 	if c.Dropped != nil {
--- a/assigner/assign.go
+++ b/assigner/assign.go
@@ -25,8 +25,8 @@
 
 // Group is a database group and the most proxies that may have connections of it.
 type Group struct {
-	Name string
-	Most int
+	Name        string
+	MaxGateways int
 }
 
 // zone is the proxies of an availability zone, and what is left to give them.
@@ -49,7 +49,7 @@
 	places := make([]map[string]int, len(groups))
 	total := map[string]int{}
 	for i, g := range groups {
-		places[i] = spread(min(max(1, g.Most), len(proxies)), names, zones)
+		places[i] = spread(min(max(1, g.MaxGateways), len(proxies)), names, zones)
 		for name, n := range places[i] {
 			total[name] += n
 		}
--- a/assigner/assign_test.go
+++ b/assigner/assign_test.go
@@ -25,7 +25,7 @@
 func groups(n, most int) []Group {
 	out := make([]Group, 0, n)
 	for i := range n {
-		out = append(out, Group{Name: fmt.Sprint("g", i), Most: most})
+		out = append(out, Group{Name: fmt.Sprint("g", i), MaxGateways: most})
 	}
 	return out
 }
--- a/carrier/alone_test.go
+++ b/carrier/alone_test.go
@@ -84,7 +84,7 @@
 	case c.Verb == Begin:
 		return Answer{Signature: "-", State: Open}
 	case c.Verb == Read && l.s.mark(l.id).Less(c.Since):
-		return Answer{Code: Behind}
+		return Answer{Code: Lagging}
 	case c.Verb != Read:
 		return Answer{Signature: "-"}
 	}
@@ -98,10 +98,10 @@
 	return Answer{Signature: "s"}
 }
 
-func (l *stuckLink) Abort()                {}
-func (l *stuckLink) Alive() bool           { return true }
-func (l *stuckLink) Greeted() tracker.Mark { return l.s.mark(l.id) }
-func (l *stuckLink) Close() error          { return nil }
+func (l *stuckLink) Abort()                    {}
+func (l *stuckLink) Alive() bool               { return true }
+func (l *stuckLink) InitialMark() tracker.Mark { return l.s.mark(l.id) }
+func (l *stuckLink) Close() error              { return nil }
 
 // playStuck offers a session's reads to the group by way of three processes for 12
 // seconds, at 1.4 times what one upstream can do, while its log grows. With relief the
@@ -115,8 +115,8 @@
 		s := newStuckGroup()
 		var groups []*Group
 		for range 3 {
-			c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
-			c.Divide(3, []cataloger.GroupSettings{{Name: "g", Connections: 23}})
+			c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
+			c.DivideConnections(3, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 			var list []cataloger.Upstream
 			for i, id := range []string{"a", "b", "c"} {
 				list = append(list, cataloger.Upstream{
@@ -139,7 +139,7 @@
 			s.end++
 			s.mu.Unlock()
 			switch {
-			case !groups[0].Observe().Alone:
+			case !groups[0].Observe().LeaderOverloaded:
 				alone = time.Time{}
 			case alone.IsZero():
 				alone = time.Now()
@@ -148,8 +148,8 @@
 			}
 			g := groups[rng.IntN(len(groups))]
 			calls.Go(func() {
-				job := &Job{Freshness: cataloger.Own, MaxAge: 2500 * time.Millisecond, Arrived: time.Now()}
-				job.Aim, job.Deadline = job.Arrived.Add(aim), job.Arrived.Add(timeout)
+				job := &Job{Freshness: cataloger.ReadYourWrites, MaxAge: 2500 * time.Millisecond, Arrived: time.Now()}
+				job.ObjectiveAt, job.Deadline = job.Arrived.Add(aim), job.Arrived.Add(timeout)
 				a := g.Run(job, Command{Verb: Read, ID: "r"})
 				mu.Lock()
 				defer mu.Unlock()
@@ -200,7 +200,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &Carrier{Now: func() time.Time { return now }, Log: zap.NewNop()}
+			c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
 			c.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1), startedAt("c", 1)})
 			g, _ := c.Group("g")
 			g.leader = g.members[0]
@@ -210,7 +210,7 @@
 				m.lag.refused(now, now.Add(-4*time.Second))
 			}
 			test.change(g)
-			is.Equal(g.Observe().Alone, test.want)
+			is.Equal(g.Observe().LeaderOverloaded, test.want)
 		})
 	}
 }
--- a/carrier/carrier.go
+++ b/carrier/carrier.go
@@ -14,33 +14,33 @@
 
 // What opening a link can end with, besides errors of the network.
 var (
-	// ErrOverloaded means that the upstream has as many connections as it takes.
-	ErrOverloaded = errors.New("carrier: upstream has too many connections")
-	// ErrCrowded means that the upstream took the connection and didn't greet in
+	// ErrConnectionLimit means that the upstream has as many connections as it takes.
+	ErrConnectionLimit = errors.New("carrier: upstream has too many connections")
+	// ErrHandshakeTimeout means that the upstream took the connection and didn't greet in
 	// time: it lives, and has no slot for it.
-	ErrCrowded = errors.New("carrier: upstream is too busy for another connection")
+	ErrHandshakeTimeout = errors.New("carrier: upstream is too busy for another connection")
 	// ErrMisdirected means that another upstream answers at the address.
 	ErrMisdirected = errors.New("carrier: another upstream is at the address")
 )
 
-// Carrier holds the groups. Set the exported fields before the first use.
-type Carrier struct {
+// Registry holds the groups. Set the exported fields before the first use.
+type Registry struct {
 	// Zone is this process's availability zone.
 	Zone string
-	// Leave is how long an upstream that says that it leaves may get new work; zero sets
+	// LeaveTimeout is how long an upstream that says that it leaves may get new work; zero sets
 	// no bound.
-	Leave time.Duration
+	LeaveTimeout time.Duration
 	// Dial opens a link to an upstream for the statements of a workspace; "" stands for
 	// those that belong to none, and for the process's own.
 	Dial func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error)
-	// Carry, when set, says for each group how many connections this process may have
+	// ConnectionShares, when set, says for each group how many connections this process may have
 	// to each upstream, which takes so many from so many proxies.
-	Carry func(most map[string]int, proxies int) map[string]int
-	// Count, when set, counts each choice of an upstream by its reason.
-	Count func(reason string)
-	// Sample, when set, asks a peer for a position of a group's leader that is
+	ConnectionShares func(most map[string]int, proxies int) map[string]int
+	// CountPlacement, when set, counts each choice of an upstream by its reason.
+	CountPlacement func(reason string)
+	// RequestSample, when set, asks a peer for a position of a group's leader that is
 	// taken after the question.
-	Sample func(group string) (tracker.Mark, bool)
+	RequestSample func(group string) (tracker.Mark, bool)
 	// Now is a clock that also counts the time in which the machine is
 	// suspended. It is only compared with itself.
 	Now func() time.Time
@@ -62,7 +62,7 @@
 // wait for one as they do for a leader. After a loss of power everywhere the
 // configuration may be known half a second before the upstreams; refused at once,
 // callers had used up their tries by then.
-func (c *Carrier) Group(name string) (*Group, bool) {
+func (c *Registry) Group(name string) (*Group, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g, ok := c.groups[name]
@@ -70,7 +70,7 @@
 }
 
 // Groups returns all groups.
-func (c *Carrier) Groups() []*Group {
+func (c *Registry) Groups() []*Group {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]*Group, 0, len(c.groups))
@@ -81,7 +81,7 @@
 }
 
 // Apply takes in the upstreams that the store lists.
-func (c *Carrier) Apply(list []cataloger.Upstream) {
+func (c *Registry) Apply(list []cataloger.Upstream) {
 	byGroup := map[string][]cataloger.Upstream{}
 	for _, u := range list {
 		byGroup[u.Group] = append(byGroup[u.Group], u)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (c *Carrier) ensure(name string) {
+func (c *Registry) ensure(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.groups == nil {
@@ -105,12 +105,12 @@
 	}
 }
 
-// Divide says how many proxies share the connections of the upstreams, and how
+// DivideConnections says how many proxies share the connections of the upstreams, and how
 // many connections each upstream of a group takes.
-func (c *Carrier) Divide(proxies int, settings []cataloger.GroupSettings) {
+func (c *Registry) DivideConnections(proxies int, settings []cataloger.GroupSettings) {
 	most := make(map[string]int, len(settings))
 	for _, s := range settings {
-		most[s.Name] = s.Connections - reserved
+		most[s.Name] = s.MaxConnections - reserved
 	}
 	shares := c.divided(most, proxies)
 	c.mu.Lock()
@@ -124,9 +124,9 @@
 	}
 }
 
-func (c *Carrier) divided(most map[string]int, proxies int) map[string]int {
-	if c.Carry != nil {
-		return c.Carry(most, proxies)
+func (c *Registry) divided(most map[string]int, proxies int) map[string]int {
+	if c.ConnectionShares != nil {
+		return c.ConnectionShares(most, proxies)
 	}
 	shares := make(map[string]int, len(most))
 	for group, n := range most {
@@ -137,7 +137,7 @@
 
 // share returns how many connections this proxy may have to each upstream of a
 // group; one while nothing is known of the group.
-func (c *Carrier) share(group string) int {
+func (c *Registry) share(group string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n, known := c.shares[group]; known {
@@ -148,7 +148,7 @@
 
 // window returns how many statements this proxy may have at an upstream with so many
 // slots, whatever the others have there.
-func (c *Carrier) window(group string, slots int) int {
+func (c *Registry) window(group string, slots int) int {
 	share := c.share(group)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +157,7 @@
 
 // Tick looks after upstreams that don't answer. It is called about each tenth of
 // a second.
-func (c *Carrier) Tick() {
+func (c *Registry) Tick() {
 	now := c.Now()
 	for _, g := range c.Groups() {
 		g.tick(now)
@@ -165,7 +165,7 @@
 }
 
 // Stop closes all connections.
-func (c *Carrier) Stop() {
+func (c *Registry) Stop() {
 	for _, g := range c.Groups() {
 		g.apply(nil)
 	}
--- a/carrier/command.go
+++ b/carrier/command.go
@@ -68,7 +68,7 @@
 	OK Code = iota
 	Busy
 	Aborted
-	Behind
+	Lagging
 	ReadOnly
 	Misdirected
 	Overloaded
@@ -80,13 +80,13 @@
 	Forbidden
 	TooLarge
 	Malformed
-	// Unplaced never reaches a caller: this process can't carry the statement now,
+	// Unavailable never reaches a caller: this process can't carry the statement now,
 	// and says so because another one may.
-	Unplaced
+	Unavailable
 )
 
-// Promises reports whether the code says that nothing is kept.
-func (c Code) Promises() bool { return c >= Busy && c <= Overloaded }
+// GuaranteesNoEffect reports whether the code says that nothing is kept.
+func (c Code) GuaranteesNoEffect() bool { return c >= Busy && c <= Overloaded }
 
 // String returns the code as one short word.
 func (c Code) String() string {
@@ -143,7 +143,7 @@
 	Abort()
 	// Alive reports whether the link can still be used, without waiting.
 	Alive() bool
-	// Greeted is the mark that the upstream stated when the link was opened.
-	Greeted() tracker.Mark
+	// InitialMark is the mark that the upstream stated when the link was opened.
+	InitialMark() tracker.Mark
 	Close() error
 }
--- a/carrier/fault_test.go
+++ b/carrier/fault_test.go
@@ -52,18 +52,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &slots{free: make(chan struct{}, 6)}
-		c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 53}})
+		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
 		g.mu.Lock()
 		g.bar(g.leader, time.Now(), "silent")
 		g.mu.Unlock()
-		is.Equal(g.Observe().Leads, false)
+		is.Equal(g.Observe().LeaderAnswers, false)
 		c.Tick()
 		synctest.Wait()
 		is.Equal(g.Observe().Leader, "new")
-		is.Equal(g.Observe().Leads, true)
+		is.Equal(g.Observe().LeaderAnswers, true)
 		time.Sleep(2 * firstPause) // the search ends
 		c.Stop()
 	})
@@ -78,28 +78,28 @@
 		is := is.New(t)
 		s := &slots{free: make(chan struct{}, 6)}
 		crashed := false
-		c := &Carrier{Now: time.Now, Log: zap.NewNop()}
+		c := &Registry{Now: time.Now, Log: zap.NewNop()}
 		c.Dial = func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error) {
 			if crashed {
 				return nil, errors.New("refused")
 			}
 			return s.dial(ctx, u, workspace)
 		}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 53}})
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
-		g.Verify()
-		is.Equal(g.Observe().Leads, true) // it is well
+		g.VerifyLeader()
+		is.Equal(g.Observe().LeaderAnswers, true) // it is well
 		crashed = true
-		is.Equal(g.Observe().Leads, true) // nobody has looked
+		is.Equal(g.Observe().LeaderAnswers, true) // nobody has looked
 		g.mu.Lock()
 		leader := g.leader
 		g.mu.Unlock()
 		leader.pool.Shrink(0)
 		leader.pool.Shrink(0) // what nobody needed since the first one goes
-		g.Verify()
+		g.VerifyLeader()
 		synctest.Wait()
-		is.Equal(g.Observe().Leads, false)
+		is.Equal(g.Observe().LeaderAnswers, false)
 		c.Stop()
 	})
 }
--- a/carrier/gate.go
+++ b/carrier/gate.go
@@ -42,9 +42,9 @@
 func newGate() *limiter.Gate {
 	return &limiter.Gate{
 		Queue: limiter.Queue{
-			Length: longestQueue, Service: ordinary,
-			Window: limiter.Window{Least: leastWindow, Most: mostWindow},
-			Lost:   lostAfter,
+			MaxLength: longestQueue, InitialServiceTime: ordinary,
+			Window:        limiter.Window{Min: leastWindow, Max: mostWindow},
+			LostThreshold: lostAfter,
 		},
 		Now: time.Now,
 	}
@@ -66,9 +66,9 @@
 // shorter objective, first.
 func (j *Job) class() limiter.Class {
 	switch {
-	case j.Freshness == cataloger.Own:
+	case j.Freshness == cataloger.ReadYourWrites:
 		return limiter.Session
-	case j.Latest():
+	case j.RequiresLeader():
 		return limiter.Booking
 	default:
 		return limiter.Lookup
@@ -94,21 +94,21 @@
 // so at once, with when to come back.
 func (g *Group) enter(m *member, j *Job) (limiter.Ticket, Answer) {
 	now := time.Now()
-	left := j.Aim.Sub(g.carrier.Now())
-	if j.Aim.IsZero() {
+	left := j.ObjectiveAt.Sub(g.carrier.Now())
+	if j.ObjectiveAt.IsZero() {
 		left = j.Deadline.Sub(now)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), j.Deadline)
 	defer cancel()
 	class := j.class()
-	ticket, outcome := m.gate.Acquire(ctx, limiter.Item{Class: class, Deadline: j.due(now, m.gate.Expected(class), left)})
+	ticket, outcome := m.gate.Acquire(ctx, limiter.Item{Class: class, Deadline: j.due(now, m.gate.MeanServiceTime(class), left)})
 	if ticket != 0 {
 		return ticket, Answer{}
 	}
 	g.turnedAway(m)
 	back := max(time.Until(outcome.Back), busyPause).Round(time.Millisecond)
 	g.log().Info("carrier: statement not admitted", zap.String("request", j.Request), zap.String("group", g.name), zap.String("upstream", m.id),
-		zap.Stringer("cause", outcome.Cause), zap.Duration("back", back), zap.Duration("left", left), zap.Bool("leads", j.Latest()))
+		zap.Stringer("cause", outcome.Cause), zap.Duration("back", back), zap.Duration("left", left), zap.Bool("leads", j.RequiresLeader()))
 	return 0, refusal(Busy, "upstream is overloaded; come back in "+back.String())
 }
 
@@ -124,7 +124,7 @@
 // placed there when nothing else is left, so that the statement would be offered
 // to the same upstream again and again until its time is over.
 func (g *Group) other(m *member, j *Job, since tracker.Mark) bool {
-	if j.Latest() {
+	if j.RequiresLeader() {
 		return false
 	}
 	j.avoid(m)
--- a/carrier/gate_test.go
+++ b/carrier/gate_test.go
@@ -53,10 +53,10 @@
 	return answers, true, nil
 }
 
-func (l *slotLink) Abort()                {}
-func (l *slotLink) Alive() bool           { return true }
-func (l *slotLink) Greeted() tracker.Mark { return mark(1, 1) }
-func (l *slotLink) Close() error          { return nil }
+func (l *slotLink) Abort()                    {}
+func (l *slotLink) Alive() bool               { return true }
+func (l *slotLink) InitialMark() tracker.Mark { return mark(1, 1) }
+func (l *slotLink) Close() error              { return nil }
 
 // load is what callers get of an upstream with six slots that is offered more than
 // it can do.
@@ -89,7 +89,7 @@
 		var calls sync.WaitGroup
 		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
 			g := groups[rng.IntN(carriers)]
-			job := &Job{Freshness: cataloger.Own, Writes: true}
+			job := &Job{Freshness: cataloger.ReadYourWrites, Writes: true}
 			mean, aim, booking := 37*time.Millisecond, objective, rng.Float64() < bookings
 			if booking {
 				job, mean, aim = &Job{}, 11*time.Millisecond, objective/2
@@ -98,7 +98,7 @@
 			cmd := Command{Verb: Read, ID: "r", Text: work.String()}
 			calls.Go(func() {
 				job.Arrived = time.Now()
-				job.Aim, job.Deadline = job.Arrived.Add(aim), job.Arrived.Add(timeout)
+				job.ObjectiveAt, job.Deadline = job.Arrived.Add(aim), job.Arrived.Add(timeout)
 				a := g.Run(job, cmd)
 				took := time.Since(job.Arrived)
 				mu.Lock()
@@ -134,13 +134,13 @@
 
 // before returns one process's group with one upstream, the leader.
 func before(s *slots, ungated bool) *Group {
-	c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
-	c.Divide(6, []cataloger.GroupSettings{{Name: "g", Connections: 53}})
+	c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
+	c.DivideConnections(6, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 	c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Address: netip.MustParseAddrPort("10.0.0.1:1"), Leads: true}})
 	g, _ := c.Group("g")
 	if ungated {
-		g.members[0].gate.Queue.Window = limiter.Window{Most: 64, Fixed: true}
-		g.members[0].gate.Queue.Length = 1 << 12
+		g.members[0].gate.Queue.Window = limiter.Window{Max: 64, Fixed: true}
+		g.members[0].gate.Queue.MaxLength = 1 << 12
 	}
 	return g
 }
--- a/carrier/group.go
+++ b/carrier/group.go
@@ -19,7 +19,7 @@
 // use.
 type Group struct {
 	name    string
-	carrier *Carrier
+	carrier *Registry
 
 	mu      sync.Mutex
 	members []*member
@@ -104,7 +104,7 @@
 		news := u.Leaving != before.Leaving || u.Leaving && !m.unlisted.IsZero()
 		m.entry, m.unlisted = u, time.Time{}
 		if news {
-			g.noteLeaving(m, g.carrier.Leave)
+			g.noteLeaving(m, g.carrier.LeaveTimeout)
 			g.log().Info("carrier: upstream leaving", zap.String("group", g.name), zap.String("upstream", u.ID), zap.Bool("leaving", u.Leaving))
 		}
 		if u.Leads && !before.Leads {
@@ -116,18 +116,18 @@
 		return m
 	}
 	m := &member{id: u.ID, slots: u.Slots, entry: u, gate: newGate(), running: map[*run]struct{}{}}
-	m.gate.Least(g.carrier.window(g.name, m.slots))
+	m.gate.SetWindowMin(g.carrier.window(g.name, m.slots))
 	m.opener = &opener{now: g.carrier.Now, after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
 	m.pool = &pooler.Pool[*conn]{
-		Limit: g.carrier.share(g.name),
-		Dial:  func(ctx context.Context, workspace string) (*conn, error) { return g.dial(ctx, m, workspace) },
-		Close: func(c *conn) { _ = c.Close() }, // a connection that is dropped has nothing left to say
-		Owner: func(c *conn) string { return c.workspace },
-		Pace:  m.opener.want,
-		None:  errUnshared,
+		Limit:         g.carrier.share(g.name),
+		Dial:          func(ctx context.Context, workspace string) (*conn, error) { return g.dial(ctx, m, workspace) },
+		Close:         func(c *conn) { _ = c.Close() }, // a connection that is dropped has nothing left to say
+		Owner:         func(c *conn) string { return c.workspace },
+		RequestPermit: m.opener.want,
+		ZeroLimitErr:  errUnshared,
 	}
 	m.opener.permit = m.pool.Permit
-	g.noteLeaving(m, g.carrier.Leave/2)
+	g.noteLeaving(m, g.carrier.LeaveTimeout/2)
 	g.log().Info("carrier: upstream joined", zap.String("group", g.name), zap.String("upstream", u.ID),
 		zap.Stringer("address", u.Address), zap.String("zone", u.Zone), zap.Bool("leads", u.Leads), zap.Stringer("version", u.Version))
 	if u.Leads {
@@ -195,7 +195,7 @@
 	g.quiet = false
 	g.mu.Unlock()
 	for _, m := range members {
-		m.gate.Least(g.carrier.window(g.name, m.slots))
+		m.gate.SetWindowMin(g.carrier.window(g.name, m.slots))
 		m.pool.SetLimit(share)
 	}
 }
@@ -207,7 +207,7 @@
 	g.mu.Unlock()
 	began := g.carrier.Now()
 	l, err := g.carrier.Dial(ctx, entry, workspace)
-	full := errors.Is(err, ErrOverloaded)
+	full := errors.Is(err, ErrConnectionLimit)
 	m.opener.opened(full)
 	if err == nil {
 		m.opener.took(g.carrier.Now().Sub(began))
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "carrier: open a connection to %s", entry.ID)
 	}
-	g.heard(m, l.Greeted())
+	g.heard(m, l.InitialMark())
 	return &conn{Link: l, workspace: workspace}, nil
 }
 
@@ -284,15 +284,15 @@
 	now := g.carrier.Now()
 	candidates := make([]placer.Candidate, len(g.members))
 	share := g.carrier.share(g.name)
-	upTo := g.samples.needed(need.Since, now)
+	upTo := g.samples.needed(need.MinMark, now)
 	home := g.home(workspace)
 	for i, m := range g.members {
 		candidates[i] = m.candidate(now, upTo, m == g.leader, m.entry.Zone == g.carrier.Zone, tried[m], share)
-		candidates[i].Opening = m.opening(workspace, m == g.leader, m == home)
+		candidates[i].ConnectDelay = m.opening(workspace, m == g.leader, m == home)
 	}
 	i, reason := placer.Choose(candidates, need)
-	if g.carrier.Count != nil {
-		g.carrier.Count(string(reason))
+	if g.carrier.CountPlacement != nil {
+		g.carrier.CountPlacement(string(reason))
 	}
 	if i == placer.None {
 		if reason == placer.NoLeader {
@@ -301,7 +301,7 @@
 		return nil, reason, g.changed
 	}
 	m := g.members[i]
-	if !need.Leader {
+	if !need.LeaderOnly {
 		m.lag.trying(now)
 	}
 	return m, reason, nil
--- a/carrier/job.go
+++ b/carrier/job.go
@@ -44,33 +44,33 @@
 	Workspace string
 	Freshness cataloger.Freshness
 	MaxAge    time.Duration
-	// Own is the furthest of the session's own writes.
-	Own tracker.Mark
+	// LastWrite is the furthest of the session's own writes.
+	LastWrite tracker.Mark
 	// Writes says that the job may change data, so that only the leader will do.
 	Writes bool
 	// Arrived is when the operation's first byte was here, by the carrier's
 	// clock; ages count from it.
 	Arrived time.Time
-	// Aim is when the operation should have been answered, by the carrier's clock;
+	// ObjectiveAt is when the operation should have been answered, by the carrier's clock;
 	// zero where nothing is aimed at.
-	Aim time.Time
+	ObjectiveAt time.Time
 	// Deadline is when the statement's time is over.
 	Deadline time.Time
 	// Values are those of the session.
 	Values []Value
 	// Prepared is what the statement executes, if it does.
 	Prepared *Prepared
-	// Elsewhere, when set, says that another process could carry the job now, so
+	// CanForward, when set, says that another process could carry the job now, so
 	// that waiting here for a leader or a sample is no use.
-	Elsewhere func() bool
-	// Gone is closed when the caller has left; it may be nil.
-	Gone <-chan struct{}
+	CanForward func() bool
+	// CallerGone is closed when the caller has left; it may be nil.
+	CallerGone <-chan struct{}
 
 	tried map[*member]bool
 }
 
-// Latest reports whether the job must run on the present leader.
-func (j *Job) Latest() bool { return j.Writes || j.Freshness == cataloger.Latest }
+// RequiresLeader reports whether the job must run on the present leader.
+func (j *Job) RequiresLeader() bool { return j.Writes || j.Freshness == cataloger.Latest }
 
 // avoid remembers that the job failed at a member.
 func (j *Job) avoid(m *member) {
@@ -111,14 +111,14 @@
 	c, err := m.connectionFor(j.Workspace, j.Deadline)
 	if err == nil && g.isClosed(m) {
 		g.release(m, c, true)
-		return nil, refusal(Busy, string(placer.Closed))
+		return nil, refusal(Busy, string(placer.LeaderDrained))
 	}
 	if err != nil {
 		g.refused(m, err)
 		switch {
 		case errors.Is(err, errUnshared):
-			return nil, refusal(Unplaced, err.Error())
-		case errors.Is(err, ErrOverloaded):
+			return nil, refusal(Unavailable, err.Error())
+		case errors.Is(err, ErrConnectionLimit):
 			return nil, refusal(Overloaded, "upstream has too many connections")
 		}
 		j.avoid(m)
@@ -140,8 +140,8 @@
 		if !again {
 			return answer
 		}
-		if answer.Code == Overloaded && j.Elsewhere != nil && j.Elsewhere() {
-			return refusal(Unplaced, answer.Text) // a peer may have connections there
+		if answer.Code == Overloaded && j.CanForward != nil && j.CanForward() {
+			return refusal(Unavailable, answer.Text) // a peer may have connections there
 		}
 		if answer.Code == Overloaded || answer.Code == Busy {
 			n-- // nothing was run; the deadline bounds these
@@ -207,7 +207,7 @@
 		answer.Ran = g.carrier.Now().Sub(started)
 		answer.Waited = started.Sub(j.Arrived)
 		g.took(m, answer.Ran)
-		if !j.Latest() {
+		if !j.RequiresLeader() {
 			g.sufficed(m, since)
 		}
 		return answer, false
@@ -293,24 +293,24 @@
 // again decides what a refusal of a member means for the job.
 func (g *Group) again(m *member, j *Job, a Answer) bool {
 	switch a.Code {
-	case Behind:
+	case Lagging:
 		g.late(m)
 		j.avoid(m)
 	case ReadOnly:
 		g.deposed(m)
-		if j.Latest() {
+		if j.RequiresLeader() {
 			return true
 		}
 		j.avoid(m)
 	case Overloaded:
-		anew := !j.Latest() && !j.tried[m]
+		anew := !j.RequiresLeader() && !j.tried[m]
 		j.avoid(m)
-		if !anew && (j.Elsewhere == nil || !j.Elsewhere()) {
+		if !anew && (j.CanForward == nil || !j.CanForward()) {
 			return pause(j, crowdedPause)
 		}
 	case Busy:
 		g.took(m, 4*ordinary)
-		if j.Latest() {
+		if j.RequiresLeader() {
 			return pause(j, busyPause)
 		}
 		j.avoid(m)
--- a/carrier/leave_test.go
+++ b/carrier/leave_test.go
@@ -17,8 +17,8 @@
 // leavingGroup returns a group whose leader, a, and two replicas answer, and what the
 // store lists of them.
 func leavingGroup(s *stuckGroup) (*Group, []cataloger.Upstream) {
-	c := &Carrier{Dial: s.dial, Leave: leaving, Now: time.Now, Log: zap.NewNop()}
-	c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 23}})
+	c := &Registry{Dial: s.dial, LeaveTimeout: leaving, Now: time.Now, Log: zap.NewNop()}
+	c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 	all := []cataloger.Upstream{listedAt("a", 1), listedAt("b", 2), listedAt("c", 3)}
 	all[0].Leads = true
 	c.Apply(all)
@@ -47,8 +47,8 @@
 		asked := time.Now()
 		is.Equal(readLatest(g), Busy)
 		is.Equal(time.Since(asked), time.Duration(0)) // at once
-		is.Equal(g.Observe().Leads, true)             // so that the holder goes on with the change
-		is.True(!g.Serves(&Job{}))
+		is.Equal(g.Observe().LeaderAnswers, true)     // so that the holder goes on with the change
+		is.True(!g.CanServe(&Job{}))
 
 		all[0].Leaving = false // it stays after all
 		g.carrier.Apply(all)
@@ -63,15 +63,15 @@
 func TestAnUpstreamThatLeavesAlreadyGetsLess(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	c := &Carrier{Leave: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
+	c := &Registry{LeaveTimeout: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
 	u := listedAt("a", 1)
 	u.Leaving = true
 	c.Apply([]cataloger.Upstream{u})
 	g, _ := c.Group("g")
 	now = now.Add(leaving/2 - early)
 	is.True(g.isClosed(g.members[0]))
-	c.Leave = 0 // no bound
-	g.noteLeaving(g.members[0], c.Leave)
+	c.LeaveTimeout = 0 // no bound
+	g.noteLeaving(g.members[0], c.LeaveTimeout)
 	is.True(!g.isClosed(g.members[0]))
 }
 
@@ -104,7 +104,7 @@
 		g.members[0].barred, g.members[2].barred = true, true
 		now := time.Now()
 		job := func() *Job {
-			return &Job{Freshness: cataloger.Bounded, MaxAge: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
+			return &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
 		}
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Upstream, "b")
 		g.members[1].ends = now
@@ -120,7 +120,7 @@
 func TestAnUpstreamThatIsListedAgainAsLeavingHasATime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	c := &Carrier{Leave: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
+	c := &Registry{LeaveTimeout: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
 	all := []cataloger.Upstream{listedAt("a", 1), listedAt("b", 2)}
 	c.Apply(all)
 	g, _ := c.Group("g")
--- a/carrier/lost.go
+++ b/carrier/lost.go
@@ -93,7 +93,7 @@
 // missing appends the absent upstreams that a change of leader must reckon with,
 // and returns how far the new leader's log must reach in place of the others. The
 // caller has the lock.
-func (g *Group) missing(seen []Seen, now time.Time) ([]Seen, tracker.Mark) {
+func (g *Group) missing(seen []UpstreamView, now time.Time) ([]UpstreamView, tracker.Mark) {
 	var floor tracker.Mark
 	for _, m := range g.members {
 		floor = further(floor, m.floor)
@@ -104,7 +104,7 @@
 			floor = further(floor, newest.mark)
 			continue
 		}
-		seen = append(seen, Seen{ID: id, Born: a.entry.Born, Leaving: a.entry.Leaving, Barred: true, Lost: true})
+		seen = append(seen, UpstreamView{ID: id, StartedAt: a.entry.Born, Leaving: a.entry.Leaving, Ejected: true, Unlisted: true})
 	}
 	return seen, floor
 }
--- a/carrier/member.go
+++ b/carrier/member.go
@@ -73,18 +73,18 @@
 		places = m.pool.Stats().Open
 	}
 	return placer.Candidate{
-		Leads:   leads,
-		Leaving: m.entry.Leaving,
-		Closed:  m.closed(now),
-		Barred:  m.barred,
-		Local:   local,
-		Behind:  m.lag.lacks(now, upTo),
-		Tried:   tried,
-		Mark:    m.mark,
-		Running: len(m.running),
-		Wait:    m.gate.Wait(),
-		Places:  places,
-		Latency: m.expected(now),
+		IsLeader:       leads,
+		Leaving:        m.entry.Leaving,
+		DrainEnded:     m.closed(now),
+		Ejected:        m.barred,
+		SameZone:       local,
+		Lagging:        m.lag.lacks(now, upTo),
+		Tried:          tried,
+		Mark:           m.mark,
+		InFlight:       len(m.running),
+		QueueWait:      m.gate.ExpectedWait(),
+		MaxConnections: places,
+		Latency:        m.expected(now),
 	}
 }
 
@@ -97,7 +97,7 @@
 // that would take its slots from such work, so for them it counts as one that has none.
 func (m *member) opening(workspace string, leads, home bool) time.Duration {
 	switch {
-	case workspace == "", !leads && m.pool.Has(workspace):
+	case workspace == "", !leads && m.pool.HasIdle(workspace):
 		return 0
 	case home:
 		return m.opener.expected()
@@ -146,7 +146,7 @@
 
 func (m *member) wait(deadline time.Time, get func(context.Context) (*conn, error)) (*conn, error) {
 	if m.full() {
-		return nil, ErrOverloaded
+		return nil, ErrConnectionLimit
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/carrier/observe.go
+++ b/carrier/observe.go
@@ -24,39 +24,39 @@
 // ErrRefused means that an upstream refused a control command.
 var ErrRefused = errors.New("carrier: upstream refused")
 
-// Seen is one upstream, as the control side sees it.
-type Seen struct {
+// UpstreamView is one upstream, as the control side sees it.
+type UpstreamView struct {
 	ID string
-	// Born is when it started; zero where it doesn't say.
-	Born    time.Time
-	Leaving bool
-	Barred  bool
-	// Lost says that the store lists it no longer, and nobody knows what became of
+	// StartedAt is when it started; zero where it doesn't say.
+	StartedAt time.Time
+	Leaving   bool
+	Ejected   bool
+	// Unlisted says that the store lists it no longer, and nobody knows what became of
 	// its log.
-	Lost bool
+	Unlisted bool
 }
 
 // Observation is what this process sees of a group.
 type Observation struct {
 	// Leader is the upstream that leads or led last; Leads says that it answers.
-	Leader string
-	Leads  bool
-	// Blind says that none of the others can be reached either, so that the next
+	Leader        string
+	LeaderAnswers bool
+	// Isolated says that none of the others can be reached either, so that the next
 	// leader can't be.
-	Blind bool
-	// Stuck says that the leader doesn't acknowledge writes.
-	Stuck bool
+	Isolated bool
+	// CommitStalled says that the leader doesn't acknowledge writes.
+	CommitStalled bool
 	// Failing says that the leader fails much of what it is asked, though it answers.
 	Failing bool
-	// Alone says that the leader is asked for more than it can do, while the replicas
+	// LeaderOverloaded says that the leader is asked for more than it can do, while the replicas
 	// are too late for any read.
-	Alone   bool
-	Term    tracker.Term
-	Members []Seen
-	// Floor, when set, is how far the log of a new leader must reach: some lost
+	LeaderOverloaded bool
+	Term             tracker.Term
+	Upstreams        []UpstreamView
+	// MinReceived, when set, is how far the log of a new leader must reach: some lost
 	// upstreams are no longer reckoned with, for which see excusedAfter, or some have
 	// started again and hold nothing of before.
-	Floor tracker.Mark
+	MinReceived tracker.Mark
 }
 
 // Observe returns what this process sees of the group.
@@ -66,19 +66,19 @@
 	now := g.carrier.Now()
 	out := Observation{Leader: g.led}
 	for _, m := range g.members {
-		out.Members = append(out.Members, Seen{ID: m.id, Born: m.entry.Born, Leaving: m.entry.Leaving, Barred: m.barred})
+		out.Upstreams = append(out.Upstreams, UpstreamView{ID: m.id, StartedAt: m.entry.Born, Leaving: m.entry.Leaving, Ejected: m.barred})
 		if out.Term.Less(m.mark.Term) {
 			out.Term = m.mark.Term
 		}
 	}
-	out.Members, out.Floor = g.missing(out.Members, now)
-	out.Blind = g.present() == nil && g.blind()
+	out.Upstreams, out.MinReceived = g.missing(out.Upstreams, now)
+	out.Isolated = g.present() == nil && g.blind()
 	if g.leader != nil {
 		out.Leader = g.leader.entry.ID
-		out.Leads = !g.leader.barred
-		out.Stuck = g.stuck(g.leader, now)
+		out.LeaderAnswers = !g.leader.barred
+		out.CommitStalled = g.stuck(g.leader, now)
 		out.Failing = g.leader.faults.many(now)
-		out.Alone = g.alone(now)
+		out.LeaderOverloaded = g.alone(now)
 	}
 	return out
 }
--- a/carrier/outlook_test.go
+++ b/carrier/outlook_test.go
@@ -13,7 +13,7 @@
 
 // leaderless returns a group of three whose leader, a, has been lost for some time.
 func leaderless(lost time.Duration) *Group {
-	c := &Carrier{Now: time.Now, Log: zap.NewNop()}
+	c := &Registry{Now: time.Now, Log: zap.NewNop()}
 	c.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1), startedAt("c", 1)})
 	g, _ := c.Group("g")
 	g.led, g.leaderless = "a", time.Now().Add(-lost)
@@ -68,5 +68,5 @@
 	g.members[1].barred, g.members[2].barred = true, true
 	is.True(g.starves(&Job{Writes: true}))
 	is.True(!g.starves(&Job{}))
-	is.True(g.Observe().Stuck)
+	is.True(g.Observe().CommitStalled)
 }
--- a/carrier/place.go
+++ b/carrier/place.go
@@ -16,24 +16,24 @@
 		since, waiting, ok := g.floor(j)
 		if !ok {
 			if g.unsampled(j) {
-				return nil, since, refusal(Unplaced, "no sample of the leader's log")
+				return nil, since, refusal(Unavailable, "no sample of the leader's log")
 			}
 			if g.vain(j) || !wait(j, waiting) {
 				return nil, since, g.unplaced(j, placer.NoLeader)
 			}
 			continue
 		}
-		m, reason, changed := g.choose(placer.Need{Leader: j.Latest(), Since: since}, j.Workspace, j.tried)
+		m, reason, changed := g.choose(placer.Need{LeaderOnly: j.RequiresLeader(), MinMark: since}, j.Workspace, j.tried)
 		if m != nil && g.starves(j) {
-			m, reason = nil, placer.Starved
+			m, reason = nil, placer.CommitStalled
 		}
 		if m != nil {
 			return m, since, Answer{}
 		}
-		if j.Elsewhere != nil && j.Elsewhere() {
-			return nil, since, refusal(Unplaced, string(reason))
+		if j.CanForward != nil && j.CanForward() {
+			return nil, since, refusal(Unavailable, string(reason))
 		}
-		if reason == placer.Closed || g.vain(j) || !wait(j, changed) {
+		if reason == placer.LeaderDrained || g.vain(j) || !wait(j, changed) {
 			return nil, since, g.unplaced(j, reason)
 		}
 	}
@@ -42,13 +42,13 @@
 // unsampled reports whether a job that lacks a sample is better carried elsewhere:
 // there is no leader here to ask for one.
 func (g *Group) unsampled(j *Job) bool {
-	return g.leads() == nil && j.Elsewhere != nil && j.Elsewhere()
+	return g.leads() == nil && j.CanForward != nil && j.CanForward()
 }
 
 // floor returns the mark that a read needs. When no sample is fresh enough, it
 // returns a channel to wait on for a newer one.
 func (g *Group) floor(j *Job) (tracker.Mark, <-chan struct{}, bool) {
-	if j.Latest() {
+	if j.RequiresLeader() {
 		return tracker.Mark{}, nil, true
 	}
 	g.mu.Lock()
@@ -67,8 +67,8 @@
 		}
 		return mark, waiting, false
 	}
-	if mark.Less(j.Own) {
-		mark = j.Own
+	if mark.Less(j.LastWrite) {
+		mark = j.LastWrite
 	}
 	return mark, nil, true
 }
@@ -86,7 +86,7 @@
 		return true
 	case <-timer.C:
 		return false
-	case <-j.Gone:
+	case <-j.CallerGone:
 		return false
 	}
 }
@@ -116,6 +116,6 @@
 
 func (g *Group) unplaced(j *Job, reason placer.Reason) Answer {
 	g.log().Info("carrier: statement refused", zap.String("request", j.Request), zap.String("group", g.name),
-		zap.String("reason", string(reason)), zap.Bool("latest", j.Latest()))
+		zap.String("reason", string(reason)), zap.Bool("latest", j.RequiresLeader()))
 	return refusal(Busy, string(reason)+"; come back in "+comeBack.String())
 }
--- a/carrier/restart_test.go
+++ b/carrier/restart_test.go
@@ -22,7 +22,7 @@
 // clock by the returned function.
 func restarting() (*Group, func(time.Time)) {
 	now := time.Unix(1000, 0)
-	c := &Carrier{Now: func() time.Time { return now }, Log: zap.NewNop()}
+	c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
 	c.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1)})
 	g, _ := c.Group("g")
 	m := g.members[0]
@@ -64,8 +64,8 @@
 	is := is.New(t)
 	g, _ := restarting()
 	g.carrier.Apply([]cataloger.Upstream{startedAt("b", 1)})
-	for _, m := range g.Observe().Members {
-		is.True(m.Born.Equal(time.UnixMilli(1)))
+	for _, m := range g.Observe().Upstreams {
+		is.True(m.StartedAt.Equal(time.UnixMilli(1)))
 	}
 }
 
@@ -91,16 +91,16 @@
 func TestANewLeaderHasWhatARestartedReplicaConfirmed(t *testing.T) {
 	is := is.New(t)
 	g, setNow := restarting()
-	is.True(g.Observe().Floor.IsZero())
+	is.True(g.Observe().MinReceived.IsZero())
 	g.carrier.Apply([]cataloger.Upstream{startedAt("a", 2), startedAt("b", 1)})
-	is.Equal(g.Observe().Floor, mark(1, 100)) // the newest that is known of the leader
+	is.Equal(g.Observe().MinReceived, mark(1, 100)) // the newest that is known of the leader
 
 	// The first position that the leader tells after the restart covers all of it.
 	later := time.Unix(1001, 0)
 	setNow(later)
 	g.proved(g.members[1], later, mark(1, 120))
-	is.Equal(g.Observe().Floor, mark(1, 120))
+	is.Equal(g.Observe().MinReceived, mark(1, 120))
 	setNow(later.Add(time.Second))
 	g.proved(g.members[1], later.Add(time.Second), mark(1, 200))
-	is.Equal(g.Observe().Floor, mark(1, 120)) // what came later is confirmed by live copies
+	is.Equal(g.Observe().MinReceived, mark(1, 120)) // what came later is confirmed by live copies
 }
--- a/carrier/runner.go
+++ b/carrier/runner.go
@@ -21,28 +21,28 @@
 	Rollback()
 }
 
-// Known reports whether any upstream of the group is known.
-func (g *Group) Known() bool {
+// HasUpstreams reports whether any upstream of the group is known.
+func (g *Group) HasUpstreams() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.members) > 0
 }
 
-// Carries reports whether this process has connections to the group's upstreams.
-func (g *Group) Carries() bool { return g.carrier.share(g.name) > 0 }
+// IsGateway reports whether this process has connections to the group's upstreams.
+func (g *Group) IsGateway() bool { return g.carrier.share(g.name) > 0 }
 
-// Serves reports whether this process can carry a job at once, as far as it
+// CanServe reports whether this process can carry a job at once, as far as it
 // knows: what must see everything needs a leader that answers and acknowledges
 // writes, the rest an upstream and a sample that is young enough or can be had.
-func (g *Group) Serves(j *Job) bool {
-	if !g.Carries() {
+func (g *Group) CanServe(j *Job) bool {
+	if !g.IsGateway() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.carrier.Now()
 	leads := g.present() != nil
-	if j.Latest() {
+	if j.RequiresLeader() {
 		return leads && !g.leader.closed(now) && !g.leader.full() && (!j.Writes || !g.stuck(g.leader, now))
 	}
 	_, fresh := g.samples.since(j.Arrived.Add(margin - j.MaxAge))
@@ -57,8 +57,8 @@
 	return false
 }
 
-// Sample returns a position of the leader's log that is asked for now.
-func (g *Group) Sample() (tracker.Mark, bool) {
+// SampleLeader returns a position of the leader's log that is asked for now.
+func (g *Group) SampleLeader() (tracker.Mark, bool) {
 	g.mu.Lock()
 	leader := g.leader
 	g.mu.Unlock()
--- a/carrier/seek_test.go
+++ b/carrier/seek_test.go
@@ -20,15 +20,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStuckGroup()
-		c := &Carrier{Now: time.Now, Log: zap.NewNop()}
+		c := &Registry{Now: time.Now, Log: zap.NewNop()}
 		c.Dial = func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error) {
 			if u.ID == "a" {
 				<-ctx.Done() // no room for another connection
-				return nil, ErrCrowded
+				return nil, ErrHandshakeTimeout
 			}
 			return s.dial(ctx, u, workspace)
 		}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 23}})
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 		c.Apply([]cataloger.Upstream{listedAt("a", 1), listedAt("b", 2), listedAt("c", 3)})
 		g, _ := c.Group("g")
 		g.members[0].answered = time.Now() // it lives
@@ -40,7 +40,7 @@
 			time.Sleep(100 * time.Millisecond)
 			c.Tick()
 			synctest.Wait()
-			if g.Observe().Leads {
+			if g.Observe().LeaderAnswers {
 				break
 			}
 		}
--- a/carrier/share_test.go
+++ b/carrier/share_test.go
@@ -21,9 +21,9 @@
 		is := is.New(t)
 		share := 1
 		s := &slots{free: make(chan struct{}, 6)}
-		c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), Carry: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
-		settings := []cataloger.GroupSettings{{Name: "g", Connections: 53}}
-		c.Divide(1, settings)
+		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
+		settings := []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}}
+		c.DivideConnections(1, settings)
 		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
 		g, _ := c.Group("g")
 		answers := make(chan Answer, 2)
@@ -36,8 +36,8 @@
 		go run("1ms")
 		time.Sleep(100 * time.Millisecond)
 		share = 0
-		c.Divide(2, settings)
-		is.Equal((<-answers).Code, Unplaced)
+		c.DivideConnections(2, settings)
+		is.Equal((<-answers).Code, Unavailable)
 		is.Equal(time.Since(began), 100*time.Millisecond)
 		is.Equal((<-answers).Code, OK) // what runs goes on
 		is.Equal(g.members[0].pool.Stats().Open, 0)
@@ -53,16 +53,16 @@
 		is := is.New(t)
 		s := &slots{free: make(chan struct{}, 6)}
 		choices := 0
-		c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), Count: func(string) { choices++ }}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 53}})
+		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), CountPlacement: func(string) { choices++ }}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g", Leaving: true}})
 		g, _ := c.Group("g")
 		for _, m := range g.members {
-			m.gate.Queue.Service = time.Minute // nothing can be in time
-			m.gate.Queue.Window = limiter.Window{Least: 1, Most: 1, Fixed: true}
+			m.gate.Queue.InitialServiceTime = time.Minute // nothing can be in time
+			m.gate.Queue.Window = limiter.Window{Min: 1, Max: 1, Fixed: true}
 		}
 		g.samples.add(time.Now(), mark(1, 1))
-		job := &Job{Freshness: cataloger.Bounded, MaxAge: time.Second, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
+		job := &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
 		is.Equal(g.Run(job, Command{Verb: Read, ID: "r", Text: "1ms"}).Code, Busy)
 		is.Equal(choices, 2)
 		c.Stop()
--- a/carrier/start_test.go
+++ b/carrier/start_test.go
@@ -29,7 +29,7 @@
 		for range carriers {
 			g := before(s, false)
 			if least > 0 {
-				g.members[0].gate.Queue.Window.Least = least
+				g.members[0].gate.Queue.Window.Min = least
 			}
 			groups = append(groups, g)
 		}
@@ -44,8 +44,8 @@
 			work := time.Duration((0.3 + 1.4*rng.Float64()) * float64(37*time.Millisecond))
 			cmd := Command{Verb: Read, ID: "r", Text: work.String()}
 			calls.Go(func() {
-				job := &Job{Freshness: cataloger.Own, Writes: true, Arrived: time.Now()}
-				job.Aim, job.Deadline = job.Arrived.Add(objective), job.Arrived.Add(timeout)
+				job := &Job{Freshness: cataloger.ReadYourWrites, Writes: true, Arrived: time.Now()}
+				job.ObjectiveAt, job.Deadline = job.Arrived.Add(objective), job.Arrived.Add(timeout)
 				a := g.Run(job, cmd)
 				mu.Lock()
 				defer mu.Unlock()
@@ -102,14 +102,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &slots{free: make(chan struct{}, 6)}
-		c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 53}})
+		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		g, known := c.Group("g")
 		is.True(known)
-		is.True(!g.Known())
+		is.True(!g.HasUpstreams())
 		answers := make(chan Answer)
 		began := time.Now()
-		for _, job := range []*Job{{}, {Freshness: cataloger.Bounded, MaxAge: time.Second}} {
+		for _, job := range []*Job{{}, {Freshness: cataloger.BoundedStaleness, MaxAge: time.Second}} {
 			job.Arrived, job.Deadline = began, began.Add(time.Second)
 			go func() { answers <- g.Run(job, Command{Verb: Read, ID: "r", Text: "1ms"}) }()
 		}
@@ -118,7 +118,7 @@
 		is.Equal((<-answers).Code, OK)
 		is.Equal((<-answers).Code, OK)
 		is.True(time.Since(began) < 700*time.Millisecond)
-		is.True(g.Known())
+		is.True(g.HasUpstreams())
 		c.Stop()
 	})
 }
--- a/carrier/stuck_test.go
+++ b/carrier/stuck_test.go
@@ -32,10 +32,10 @@
 	return answers, true, nil
 }
 
-func (f *forgetful) Abort()                {}
-func (f *forgetful) Alive() bool           { return true }
-func (f *forgetful) Greeted() tracker.Mark { return mark(1, 1) }
-func (f *forgetful) Close() error          { return nil }
+func (f *forgetful) Abort()                    {}
+func (f *forgetful) Alive() bool               { return true }
+func (f *forgetful) InitialMark() tracker.Mark { return mark(1, 1) }
+func (f *forgetful) Close() error              { return nil }
 
 // Symptom: a leader that does its work is replaced as a dead one, and its group has no
 // leader for 1.9 s. Sequence: it loses the answer of one write in five; the processes
@@ -45,15 +45,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := &forgetful{}
-		c := &Carrier{Now: time.Now, Log: zap.NewNop(), Dial: func(context.Context, cataloger.Upstream, string) (Link, error) { return f, nil }}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 23}})
+		c := &Registry{Now: time.Now, Log: zap.NewNop(), Dial: func(context.Context, cataloger.Upstream, string) (Link, error) { return f, nil }}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 		u := listedAt("a", 1)
 		u.Leads = true
 		c.Apply([]cataloger.Upstream{u})
 		g, _ := c.Group("g")
 		write := func() Code {
 			now := time.Now()
-			return g.Run(&Job{Writes: true, Arrived: now, Aim: now.Add(150 * time.Millisecond), Deadline: now.Add(800 * time.Millisecond)},
+			return g.Run(&Job{Writes: true, Arrived: now, ObjectiveAt: now.Add(150 * time.Millisecond), Deadline: now.Add(800 * time.Millisecond)},
 				Command{Verb: Write, ID: "w"}).Code
 		}
 		given := make(chan Code)
@@ -61,13 +61,13 @@
 		time.Sleep(600 * time.Millisecond)
 		is.Equal(write(), OK)
 		is.Equal(<-given, InDoubt)
-		is.True(!g.Observe().Stuck)
+		is.True(!g.Observe().CommitStalled)
 
 		// Where none is answered, it is stuck.
 		f.writes.Store(0)
 		time.Sleep(time.Second)
 		is.Equal(write(), InDoubt)
-		is.True(g.Observe().Stuck)
+		is.True(g.Observe().CommitStalled)
 		c.Stop()
 		time.Sleep(time.Second)
 	})
--- a/carrier/tx.go
+++ b/carrier/tx.go
@@ -50,8 +50,8 @@
 		if !g.again(m, j, answer) && answer.Code != Aborted {
 			return nil, answer
 		}
-		if answer.Code == Overloaded && j.Elsewhere != nil && j.Elsewhere() {
-			return nil, refusal(Unplaced, answer.Text) // a peer may have connections there
+		if answer.Code == Overloaded && j.CanForward != nil && j.CanForward() {
+			return nil, refusal(Unavailable, answer.Text) // a peer may have connections there
 		}
 		if answer.Code == Overloaded || answer.Code == Busy {
 			n-- // nothing was run; the deadline bounds these
@@ -153,7 +153,7 @@
 		t.state = Broken
 	default:
 		t.state = Broken
-		if !a.Code.Promises() {
+		if !a.Code.GuaranteesNoEffect() {
 			// Nothing of a transaction that never got its commit is kept, whatever
 			// became of the statement.
 			a = refusal(Aborted, a.Code.String()+": "+a.Text)
@@ -187,7 +187,7 @@
 	}
 	t.g.release(t.m, t.r.conn, answer.State == Idle)
 	answer.State = Idle
-	if answer.Code != OK && !answer.Code.Promises() && !t.wrote {
+	if answer.Code != OK && !answer.Code.GuaranteesNoEffect() && !t.wrote {
 		return refusal(Aborted, answer.Code.String()+": "+answer.Text)
 	}
 	return answer
--- a/carrier/unlisted_test.go
+++ b/carrier/unlisted_test.go
@@ -20,8 +20,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStuckGroup()
-		c := &Carrier{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 23}})
+		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 		all := []cataloger.Upstream{listedAt("a", 1), listedAt("b", 2), listedAt("c", 3)}
 		all[0].Leads = true
 		c.Apply(all)
@@ -31,13 +31,13 @@
 		c.Apply(all[1:])
 		is.Equal(readLatest(g), OK)
 		seen := g.Observe()
-		is.True(seen.Leads)
-		is.Equal(len(seen.Members), 3)
-		is.True(seen.Members[2].Leaving) // so the holder of the duty replaces it
+		is.True(seen.LeaderAnswers)
+		is.Equal(len(seen.Upstreams), 3)
+		is.True(seen.Upstreams[2].Leaving) // so the holder of the duty replaces it
 
 		time.Sleep(unlistedFor / 2)
 		c.Apply(all) // its entry is back
-		is.True(!g.Observe().Members[0].Leaving)
+		is.True(!g.Observe().Upstreams[0].Leaving)
 		is.Equal(readLatest(g), OK)
 		c.Apply(all[1:])
 		for range 40 {
@@ -45,7 +45,7 @@
 			is.Equal(readLatest(g), OK)
 		}
 		c.Tick()
-		is.True(!g.Observe().Leads) // a few seconds after it was lost it gets nothing new
+		is.True(!g.Observe().LeaderAnswers) // a few seconds after it was lost it gets nothing new
 		c.Stop()
 		time.Sleep(time.Second) // what sought a leader has ended
 	})
@@ -57,7 +57,7 @@
 
 func readLatest(g *Group) Code {
 	now := time.Now()
-	return g.Run(&Job{Arrived: now, Aim: now.Add(time.Second), Deadline: now.Add(time.Second)}, Command{Verb: Read, ID: "r"}).Code
+	return g.Run(&Job{Arrived: now, ObjectiveAt: now.Add(time.Second), Deadline: now.Add(time.Second)}, Command{Verb: Read, ID: "r"}).Code
 }
 
 // Others whose entry goes are gone at once: who leaves has said so, who crashed
@@ -78,7 +78,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &Carrier{Now: func() time.Time { return now }, Log: zap.NewNop()}
+			c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
 			c.Apply([]cataloger.Upstream{listedAt("a", 1), listedAt("b", 2)})
 			g, _ := c.Group("g")
 			m := g.members[0]
--- a/carrier/watch.go
+++ b/carrier/watch.go
@@ -125,7 +125,7 @@
 		m.probing = false
 		now := g.carrier.Now()
 		switch {
-		case err != nil && !errors.Is(err, ErrOverloaded):
+		case err != nil && !errors.Is(err, ErrConnectionLimit):
 			g.bar(m, now, "silent, and "+err.Error())
 		default:
 			g.giveUpOverdue(m, now)
@@ -176,8 +176,8 @@
 		}
 	}
 	go func() {
-		m.pool.Flush()
-		m.pool.Refuse(errBarred)
+		m.pool.CloseIdle()
+		m.pool.FailWaiting(errBarred)
 	}()
 	g.signal()
 }
@@ -190,7 +190,7 @@
 	g.log().Info("carrier: upstream has no room", zap.String("group", g.name), zap.String("upstream", m.id),
 		zap.Int("open", stats.Open), zap.Int("waiting", stats.Waiting))
 	if stats.Open == 0 {
-		m.pool.Refuse(ErrOverloaded)
+		m.pool.FailWaiting(ErrConnectionLimit)
 	}
 }
 
@@ -212,9 +212,9 @@
 // waited for one that is in use says nothing of the member.
 func (g *Group) refused(m *member, err error) {
 	switch {
-	case errors.Is(err, pooler.ErrWait), errors.Is(err, errBarred), errors.Is(err, errUnshared), errors.Is(err, ErrOverloaded):
+	case errors.Is(err, pooler.ErrWaitTimeout), errors.Is(err, errBarred), errors.Is(err, errUnshared), errors.Is(err, ErrConnectionLimit):
 		return
-	case errors.Is(err, ErrCrowded) && g.answers(m):
+	case errors.Is(err, ErrHandshakeTimeout) && g.answers(m):
 		// A leader that was just promoted gets connections from all proxies at once;
 		// barring it for that would begin the next change of leader.
 		return
@@ -254,7 +254,7 @@
 // much later than the first one. The caller has the lock.
 func (g *Group) seek() {
 	now := g.carrier.Now()
-	if !g.Carries() || now.Sub(g.sought) < seekEvery {
+	if !g.IsGateway() || now.Sub(g.sought) < seekEvery {
 		return
 	}
 	g.sought = now
@@ -299,11 +299,11 @@
 	return leads
 }
 
-// Verify asks the leader whether it leads, and bars it if it can't be reached. What
+// VerifyLeader asks the leader whether it leads, and bars it if it can't be reached. What
 // this process believes of a leader that it hasn't used lately may be old: one sees
 // the holder of a duty try a planned change of a leader that has crashed, again and
 // again, while its peers wait for another one.
-func (g *Group) Verify() {
+func (g *Group) VerifyLeader() {
 	m := g.leads()
 	if m == nil || g.ask(m) {
 		return
@@ -321,7 +321,7 @@
 	}
 	done := make(chan struct{})
 	leader := g.present()
-	if leader == nil && g.carrier.Sample == nil {
+	if leader == nil && g.carrier.RequestSample == nil {
 		return nil
 	}
 	g.sampling = done
@@ -343,7 +343,7 @@
 // before the question.
 func (g *Group) askPeer() {
 	asked := g.carrier.Now()
-	mark, ok := g.carrier.Sample(g.name)
+	mark, ok := g.carrier.RequestSample(g.name)
 	if !ok {
 		time.Sleep(firstPause) // whoever waits asks again, not more often than ten times a second
 		return
--- a/carrier/workspace_test.go
+++ b/carrier/workspace_test.go
@@ -62,8 +62,8 @@
 				open--
 			}}, nil
 		}
-		c := &Carrier{Dial: dial, Now: time.Now, Log: zap.NewNop(), Carry: func(map[string]int, int) map[string]int { return map[string]int{"g": 4} }}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: 8}})
+		c := &Registry{Dial: dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": 4} }}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 8}})
 		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 4}})
 		g, _ := c.Group("g")
 		rng := rand.New(rand.NewPCG(3, 4))
@@ -95,7 +95,7 @@
 		before, fullest, foreign := seen()
 		is.Equal(foreign, nil)
 		is.True(fullest <= 4)
-		g.Sample()
+		g.SampleLeader()
 		after, _, _ := seen()
 		is.Equal(after, before) // any connection will do
 		c.Stop()
@@ -136,8 +136,8 @@
 			opened++
 			return &owned{workspace: workspace, foreign: func(string, string) {}}, nil
 		}
-		c := &Carrier{Dial: dial, Now: time.Now, Log: zap.NewNop(), Carry: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
-		c.Divide(1, []cataloger.GroupSettings{{Name: "g", Connections: share}})
+		c := &Registry{Dial: dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
+		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: share}})
 		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 2}, {ID: "b", Group: "g", Slots: 2}, {ID: "c", Group: "g", Slots: 2}})
 		g, _ := c.Group("g")
 		rng := rand.New(rand.NewPCG(3, 4))
@@ -148,8 +148,8 @@
 			// A few workspaces ask for most.
 			workspace := fmt.Sprint("w", int(workspaces*rng.Float64()*rng.Float64()*rng.Float64()))
 			j := &Job{
-				Workspace: workspace, Freshness: cataloger.Bounded, MaxAge: 1500 * time.Millisecond,
-				Arrived: time.Now(), Aim: time.Now().Add(300 * time.Millisecond), Deadline: time.Now().Add(time.Second),
+				Workspace: workspace, Freshness: cataloger.BoundedStaleness, MaxAge: 1500 * time.Millisecond,
+				Arrived: time.Now(), ObjectiveAt: time.Now().Add(300 * time.Millisecond), Deadline: time.Now().Add(time.Second),
 			}
 			go func() {
 				answer := g.Run(j, Command{ID: workspace, Verb: Read})
--- a/cataloger/catalog.go
+++ b/cataloger/catalog.go
@@ -17,9 +17,9 @@
 
 // The kinds of freshness.
 const (
-	Latest  Freshness = iota // everything that was acknowledged before the read
-	Bounded                  // everything older than the route's greatest age
-	Own                      // as Bounded, and all writes of the same session
+	Latest           Freshness = iota // everything that was acknowledged before the read
+	BoundedStaleness                  // everything older than the route's greatest age
+	ReadYourWrites                    // as Bounded, and all writes of the same session
 )
 
 // String returns the freshness in lower case.
@@ -46,11 +46,11 @@
 // GroupSettings is what the configuration says of a database group.
 type GroupSettings struct {
 	Name string `json:"name"`
-	// Connections is the greatest number that one upstream takes from all proxies
+	// MaxConnections is the greatest number that one upstream takes from all proxies
 	// together.
-	Connections int `json:"connections"`
-	// Confirms is on how many replicas a commit is before it is acknowledged.
-	Confirms int `json:"confirms"`
+	MaxConnections int `json:"connections"`
+	// SyncReplicas is on how many replicas a commit is before it is acknowledged.
+	SyncReplicas int `json:"confirms"`
 }
 
 // Config is the configuration of the fleet at one version.
@@ -58,11 +58,11 @@
 	Version uint64          `json:"version"`
 	Routes  []Route         `json:"routes"`
 	Groups  []GroupSettings `json:"groups"`
-	// Rest is how long a transaction may be left idle by its caller.
-	Rest time.Duration `json:"rest"`
-	// Keyed says that callers of routes that aren't public need the key of a workspace.
-	Keyed      bool        `json:"keyed,omitempty"`
-	Workspaces []Workspace `json:"workspaces,omitempty"`
+	// IdleTransactionTimeout is how long a transaction may be left idle by its caller.
+	IdleTransactionTimeout time.Duration `json:"rest"`
+	// KeysRequired says that callers of routes that aren't public need the key of a workspace.
+	KeysRequired bool        `json:"keyed,omitempty"`
+	Workspaces   []Workspace `json:"workspaces,omitempty"`
 }
 
 // Upstream is one upstream as the store lists it.
@@ -127,15 +127,15 @@
 	digest   uint64
 }
 
-// Complete returns the version up to which every change of the entries is known.
-func (c *Catalog) Complete() versioner.Version { return c.complete }
+// CompleteVersion returns the version up to which every change of the entries is known.
+func (c *Catalog) CompleteVersion() versioner.Version { return c.complete }
 
 // Digest returns a hash of all entries; catalogs with the same entries have the same.
 func (c *Catalog) Digest() uint64 { return c.digest }
 
-// Lacks reports whether a catalog with the given digest, complete up to the given
+// NeedsUpdate reports whether a catalog with the given digest, complete up to the given
 // version, knows of upstreams what this one doesn't.
-func (c *Catalog) Lacks(complete versioner.Version, digest uint64) bool {
+func (c *Catalog) NeedsUpdate(complete versioner.Version, digest uint64) bool {
 	return c.complete.Less(complete) && (digest != c.digest || complete.Era != c.complete.Era)
 }
 
@@ -258,7 +258,7 @@
 // Replace takes in a whole list as of a version: what isn't in it and was not
 // changed later is gone, or carried over from an earlier era.
 func (c *Catalog) Replace(list []Upstream, version versioner.Version) bool {
-	return c.Merge(Changes{Upstreams: list, Complete: version})
+	return c.Merge(Changes{Upstreams: list, CompleteVersion: version})
 }
 
 // Changes is what one catalog tells another. It travels between peers as JSON.
@@ -266,17 +266,17 @@
 	// Upstreams are the entries that have changed since the version that was asked
 	// for, and Kept the ids of those that haven't.
 	Upstreams []Upstream `json:"upstreams"`
-	Kept      []string   `json:"kept,omitempty"`
-	// Complete is the version up to which this is everything.
-	Complete versioner.Version `json:"complete"`
+	Unchanged []string   `json:"kept,omitempty"`
+	// CompleteVersion is the version up to which this is everything.
+	CompleteVersion versioner.Version `json:"complete"`
 }
 
-// Since returns what a catalog that is complete up to a version may lack. Told as a
+// ChangesSince returns what a catalog that is complete up to a version may lack. Told as a
 // whole, what processes that start together tell each other of 24 upstreams and 66
 // routes was two fifths of all bytes between availability zones in their first half
 // minute.
-func (c *Catalog) Since(version versioner.Version) Changes {
-	out := Changes{Complete: c.complete}
+func (c *Catalog) ChangesSince(version versioner.Version) Changes {
+	out := Changes{CompleteVersion: c.complete}
 	for _, u := range c.Upstreams() {
 		carried := u.Version.Era < c.complete.Era
 		switch {
@@ -285,7 +285,7 @@
 		case version.Less(u.Version):
 			out.Upstreams = append(out.Upstreams, u)
 		default:
-			out.Kept = append(out.Kept, u.ID)
+			out.Unchanged = append(out.Unchanged, u.ID)
 		}
 	}
 	return out
@@ -294,12 +294,12 @@
 // Merge takes in changes since a version that this catalog was complete up to when it
 // asked, and reports whether they are news.
 func (c *Catalog) Merge(ch Changes) bool {
-	if ch.Complete.Less(c.complete) {
+	if ch.CompleteVersion.Less(c.complete) {
 		return false
 	}
 	changed := false
-	present := make(map[string]bool, len(ch.Upstreams)+len(ch.Kept))
-	for _, id := range ch.Kept {
+	present := make(map[string]bool, len(ch.Upstreams)+len(ch.Unchanged))
+	for _, id := range ch.Unchanged {
 		present[id] = true
 	}
 	for _, u := range ch.Upstreams {
@@ -307,17 +307,17 @@
 		changed = c.Put(u) || changed
 	}
 	for id, u := range c.upstreams {
-		if !present[id] && u.Version.Era == ch.Complete.Era && !ch.Complete.Less(u.Version) {
-			changed = c.Remove(id, ch.Complete) || changed
+		if !present[id] && u.Version.Era == ch.CompleteVersion.Era && !ch.CompleteVersion.Less(u.Version) {
+			changed = c.Remove(id, ch.CompleteVersion) || changed
 		}
 	}
-	c.Advance(ch.Complete)
+	c.Advance(ch.CompleteVersion)
 	return changed
 }
 
-// Carried returns the ids of the upstreams that were listed in an earlier era and not yet
+// FromEarlierEra returns the ids of the upstreams that were listed in an earlier era and not yet
 // in the present one, in their order.
-func (c *Catalog) Carried() []string {
+func (c *Catalog) FromEarlierEra() []string {
 	var out []string
 	for _, u := range c.Upstreams() {
 		if u.Version.Era < c.complete.Era {
@@ -333,7 +333,7 @@
 	if c.complete.Era != era {
 		return nil
 	}
-	gone := c.Carried()
+	gone := c.FromEarlierEra()
 	for _, id := range gone {
 		c.Remove(id, c.complete)
 	}
--- a/cataloger/catalog_test.go
+++ b/cataloger/catalog_test.go
@@ -50,7 +50,7 @@
 	c.Put(Upstream{ID: "new", Version: at(12)})
 	is.True(c.Replace(nil, at(10)))
 	is.Equal(c.Upstreams(), []Upstream{{ID: "new", Version: at(12)}})
-	is.Equal(c.Complete(), at(10))
+	is.Equal(c.CompleteVersion(), at(10))
 	is.True(!c.Put(Upstream{ID: "old", Version: at(3)})) // from before the list
 	is.True(!c.Replace(nil, at(9)))                      // an older list changes nothing
 }
@@ -65,14 +65,14 @@
 	list := []Upstream{{ID: "a", Version: at(1)}, {ID: "b", Version: at(2)}}
 	watcher.Replace(list, at(3))
 	other.Replace(list, at(3))
-	is.True(!other.Lacks(watcher.Complete(), watcher.Digest()))
+	is.True(!other.NeedsUpdate(watcher.CompleteVersion(), watcher.Digest()))
 	is.True(watcher.Remove("a", at(1)))
 	watcher.Advance(at(5))
-	is.True(other.Lacks(watcher.Complete(), watcher.Digest()))
-	is.True(!watcher.Lacks(other.Complete(), other.Digest()))
-	is.True(other.Replace(watcher.Upstreams(), watcher.Complete()))
+	is.True(other.NeedsUpdate(watcher.CompleteVersion(), watcher.Digest()))
+	is.True(!watcher.NeedsUpdate(other.CompleteVersion(), other.Digest()))
+	is.True(other.Replace(watcher.Upstreams(), watcher.CompleteVersion()))
 	is.Equal(len(other.Upstreams()), 1)
-	is.True(!other.Lacks(watcher.Complete(), watcher.Digest())) // it isn't asked for again
+	is.True(!other.NeedsUpdate(watcher.CompleteVersion(), watcher.Digest())) // it isn't asked for again
 	is.True(!watcher.Remove("a", at(1)))
 	is.Equal(watcher.Digest(), other.Digest())
 }
@@ -94,8 +94,8 @@
 	is.True(watcher.Put(back))
 	is.True(holder.Put(back))
 	watcher.Advance(at(13))
-	is.True(holder.Lacks(watcher.Complete(), watcher.Digest()))
-	is.True(holder.Replace(watcher.Upstreams(), watcher.Complete()))
+	is.True(holder.NeedsUpdate(watcher.CompleteVersion(), watcher.Digest()))
+	is.True(holder.Replace(watcher.Upstreams(), watcher.CompleteVersion()))
 	is.Equal(holder.Upstreams(), []Upstream{{ID: "deaf", Version: at(2)}, back})
 	is.Equal(holder.Digest(), watcher.Digest())
 }
@@ -110,7 +110,7 @@
 	reader.Replace(list, at(3))
 	other.Replace(list, at(3))
 	is.True(!reader.Replace(list, at(90)))
-	is.True(!other.Lacks(reader.Complete(), reader.Digest()))
+	is.True(!other.NeedsUpdate(reader.CompleteVersion(), reader.Digest()))
 }
 
 // Symptom: a process lacks an upstream, or has one that is gone, for good. Sequence: it
@@ -134,10 +134,10 @@
 				held[id] = revision
 			}
 			watcher.Advance(at(revision))
-			if rng.IntN(4) > 0 || !other.Lacks(watcher.Complete(), watcher.Digest()) {
+			if rng.IntN(4) > 0 || !other.NeedsUpdate(watcher.CompleteVersion(), watcher.Digest()) {
 				continue
 			}
-			other.Merge(watcher.Since(other.Complete()))
+			other.Merge(watcher.ChangesSince(other.CompleteVersion()))
 			is.Equal(other.Upstreams(), watcher.Upstreams())
 			is.Equal(other.Digest(), watcher.Digest())
 		}
@@ -149,6 +149,6 @@
 	is := is.New(t)
 	var c Catalog
 	c.Replace([]Upstream{{ID: "a", Version: at(3)}, {ID: "b", Version: at(8)}}, at(9))
-	is.Equal(c.Since(at(5)), Changes{Upstreams: []Upstream{{ID: "b", Version: at(8)}}, Kept: []string{"a"}, Complete: at(9)})
-	is.Equal(len(c.Since(at(0)).Kept), 0)
+	is.Equal(c.ChangesSince(at(5)), Changes{Upstreams: []Upstream{{ID: "b", Version: at(8)}}, Unchanged: []string{"a"}, CompleteVersion: at(9)})
+	is.Equal(len(c.ChangesSince(at(0)).Unchanged), 0)
 }
--- a/cataloger/restore_test.go
+++ b/cataloger/restore_test.go
@@ -54,10 +54,10 @@
 	before.Replace(list, in(1, 90))
 	after.Replace(list, in(1, 50))
 	after.Replace([]Upstream{{ID: "a", Version: in(2, 31)}, {ID: "b", Version: in(2, 32)}}, in(2, 33))
-	is.True(!after.Lacks(before.Complete(), before.Digest()))
-	is.True(before.Lacks(after.Complete(), after.Digest()))
-	is.True(!after.Merge(before.Since(in(1, 50))))
-	is.True(before.Merge(after.Since(before.Complete())))
+	is.True(!after.NeedsUpdate(before.CompleteVersion(), before.Digest()))
+	is.True(before.NeedsUpdate(after.CompleteVersion(), after.Digest()))
+	is.True(!after.Merge(before.ChangesSince(in(1, 50))))
+	is.True(before.Merge(after.ChangesSince(before.CompleteVersion())))
 	is.Equal(before.Digest(), after.Digest())
 	is.Equal(before.Upstreams(), after.Upstreams())
 }
@@ -70,7 +70,7 @@
 	c.Replace([]Upstream{{ID: "a", Version: in(1, 3)}, {ID: "b", Version: in(1, 40)}, {ID: "c", Version: in(1, 41)}}, in(1, 50))
 	is.True(c.Replace([]Upstream{{ID: "a", Version: in(2, 3)}}, in(2, 30)))
 	is.Equal(ids(&c), []string{"a", "b", "c"})
-	is.Equal(c.Carried(), []string{"b", "c"})
+	is.Equal(c.FromEarlierEra(), []string{"b", "c"})
 	is.True(c.Put(Upstream{ID: "b", Version: in(2, 31)})) // it has written its entry again
 	is.Equal(c.Expire(1), nil)                            // of a restore before
 	is.Equal(c.Expire(2), []string{"c"})
@@ -201,8 +201,8 @@
 
 func (s *store) tell() {
 	p, from := s.proc(), s.proc()
-	if p.Lacks(from.Complete(), from.Digest()) {
-		p.Merge(from.Since(p.Complete()))
+	if p.NeedsUpdate(from.CompleteVersion(), from.Digest()) {
+		p.Merge(from.ChangesSince(p.CompleteVersion()))
 	}
 }
 
@@ -254,14 +254,14 @@
 	}
 	reader.Replace(list, in(s.era, s.revision))
 	for _, p := range s.procs[1:] {
-		if p.Lacks(reader.Complete(), reader.Digest()) {
-			p.Merge(reader.Since(p.Complete()))
+		if p.NeedsUpdate(reader.CompleteVersion(), reader.Digest()) {
+			p.Merge(reader.ChangesSince(p.CompleteVersion()))
 		}
 	}
 	for i, p := range s.procs {
 		p.Expire(s.era)
-		if p.Complete().Era != s.era && p.Digest() != reader.Digest() {
-			return fmt.Sprintf("process %d stays in era %d", i, p.Complete().Era)
+		if p.CompleteVersion().Era != s.era && p.Digest() != reader.Digest() {
+			return fmt.Sprintf("process %d stays in era %d", i, p.CompleteVersion().Era)
 		}
 		if len(p.Upstreams()) != len(s.held) {
 			return fmt.Sprintf("process %d knows %v of %d", i, ids(&p.Catalog), len(s.held))
--- a/cataloger/workspace.go
+++ b/cataloger/workspace.go
@@ -63,7 +63,7 @@
 // Identify returns whose statements are those of a caller with a key on a route, and
 // whether the route takes them. The name is empty where anyone may ask.
 func (v *View) Identify(r *Route, key Fingerprint) (workspace string, ok bool) {
-	if r.Public || !v.Config.Keyed {
+	if r.Public || !v.Config.KeysRequired {
 		return "", true
 	}
 	workspace, ok = v.keys[key]
--- a/conductor/identity_test.go
+++ b/conductor/identity_test.go
@@ -40,7 +40,7 @@
 		w.Keys = append(w.Keys, cataloger.NewFingerprint(key))
 	}
 	k.catalog.Configure(cataloger.Config{
-		Version: k.version, Rest: time.Second, Keyed: true, Workspaces: []cataloger.Workspace{w}, Routes: []cataloger.Route{
+		Version: k.version, IdleTransactionTimeout: time.Second, KeysRequired: true, Workspaces: []cataloger.Workspace{w}, Routes: []cataloger.Route{
 			{Database: "guards", Group: "g", Timeout: time.Second, Objective: time.Second},
 			{Database: "open", Group: "g", Timeout: time.Second, Objective: time.Second, Public: true},
 		},
--- a/conductor/session.go
+++ b/conductor/session.go
@@ -89,8 +89,8 @@
 	return reply
 }
 
-// After does what needn't keep the caller waiting for its answer.
-func (s *Session) After() {
+// RollbackEnded does what needn't keep the caller waiting for its answer.
+func (s *Session) RollbackEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, tx := range s.ended {
@@ -99,9 +99,9 @@
 	s.ended = s.ended[:0]
 }
 
-// Abandon ends the session: the caller has left. What waits for an upstream
+// Close ends the session: the caller has left. What waits for an upstream
 // gives up, and an open transaction is rolled back.
-func (s *Session) Abandon() {
+func (s *Session) Close() {
 	s.setup.Do(s.prepare)
 	s.goneOnce.Do(func() { close(s.gone) })
 	s.mu.Lock()
@@ -109,7 +109,7 @@
 	s.drop()
 	s.state = carrier.Idle
 	s.mu.Unlock()
-	s.After()
+	s.RollbackEnded()
 }
 
 func (s *Session) dispatch(st Statement, arrived time.Time) Reply {
@@ -117,7 +117,7 @@
 		return failure(carrier.Malformed, "the transaction has failed; end it first")
 	}
 	switch st.Verb {
-	case Begin, BeginRead:
+	case Begin, BeginReadOnly:
 		return s.begin(st, arrived)
 	case Commit:
 		return s.commit(st)
@@ -149,7 +149,7 @@
 		return refused
 	}
 	s.scope = scope
-	s.readOnly = st.Verb == BeginRead
+	s.readOnly = st.Verb == BeginReadOnly
 	s.began = arrived
 	s.state = carrier.Open
 	return done()
@@ -280,18 +280,18 @@
 func (s *Session) job(st Statement, in scope, arrived time.Time) *carrier.Job {
 	route := &in.route
 	job := &carrier.Job{
-		Request:   st.ID,
-		Workspace: in.workspace,
-		Freshness: route.Freshness,
-		MaxAge:    route.MaxAge,
-		Arrived:   arrived,
-		Aim:       arrived.Add(route.Objective),
-		Deadline:  time.Now().Add(route.Timeout - s.Now().Sub(arrived)),
-		Values:    s.values,
-		Gone:      s.gone,
-	}
-	if route.Freshness == cataloger.Own {
-		job.Own = s.mark
+		Request:     st.ID,
+		Workspace:   in.workspace,
+		Freshness:   route.Freshness,
+		MaxAge:      route.MaxAge,
+		Arrived:     arrived,
+		ObjectiveAt: arrived.Add(route.Objective),
+		Deadline:    time.Now().Add(route.Timeout - s.Now().Sub(arrived)),
+		Values:      s.values,
+		CallerGone:  s.gone,
+	}
+	if route.Freshness == cataloger.ReadYourWrites {
+		job.LastWrite = s.mark
 	}
 	return job
 }
@@ -416,7 +416,7 @@
 	if s.state != carrier.Open || s.tx == nil {
 		return
 	}
-	rest := s.View().Config.Rest
+	rest := s.View().Config.IdleTransactionTimeout
 	if rest == 0 {
 		rest = restDefault
 	}
@@ -439,5 +439,5 @@
 		s.state = carrier.Broken
 	}
 	s.mu.Unlock()
-	s.After()
+	s.RollbackEnded()
 }
--- a/conductor/session_test.go
+++ b/conductor/session_test.go
@@ -79,8 +79,8 @@
 func newSession() (*Session, *group) {
 	g := &group{answer: carrier.Answer{Signature: "s", Mark: mark(7)}}
 	catalog := &cataloger.Catalog{}
-	catalog.Configure(cataloger.Config{Version: 3, Rest: 2 * time.Second, Routes: []cataloger.Route{
-		{Database: "guards", Group: "g", Freshness: cataloger.Own, MaxAge: time.Second, Timeout: time.Second, Objective: 400 * time.Millisecond},
+	catalog.Configure(cataloger.Config{Version: 3, IdleTransactionTimeout: 2 * time.Second, Routes: []cataloger.Route{
+		{Database: "guards", Group: "g", Freshness: cataloger.ReadYourWrites, MaxAge: time.Second, Timeout: time.Second, Objective: 400 * time.Millisecond},
 	}})
 	return &Session{
 		Database: "guards", View: catalog.View, Now: time.Now, Log: zap.NewNop(),
@@ -89,7 +89,7 @@
 }
 
 func (s *Session) do(verb Verb, name, value string) Reply {
-	defer s.After()
+	defer s.RollbackEnded()
 	return s.Handle(Statement{ID: "r", Verb: verb, Name: name, Value: value, Text: value}, s.Now())
 }
 
@@ -99,11 +99,11 @@
 	s, g := newSession()
 	is.Equal(s.do(Write, "", "seat anna").Code, carrier.OK)
 	is.Equal(s.do(Read, "", "seat").Code, carrier.OK)
-	is.Equal(g.jobs[0].Own, tracker.Mark{})
+	is.Equal(g.jobs[0].LastWrite, tracker.Mark{})
 	is.True(g.jobs[0].Writes)
-	is.Equal(g.jobs[1].Own, mark(7))
+	is.Equal(g.jobs[1].LastWrite, mark(7))
 	is.True(!g.jobs[1].Writes)
-	is.Equal(g.jobs[1].Aim.Sub(g.jobs[1].Arrived), 400*time.Millisecond)
+	is.Equal(g.jobs[1].ObjectiveAt.Sub(g.jobs[1].Arrived), 400*time.Millisecond)
 }
 
 // Prepared statements are what they were prepared as, whatever their name is.
@@ -179,9 +179,9 @@
 	s, g := newSession()
 	s.do(Begin, "", "")
 	s.do(Write, "", "seat anna")
-	s.Abandon()
+	s.Close()
 	is.Equal(g.ended(), []string{"rollback"})
-	<-g.jobs[0].Gone
+	<-g.jobs[0].CallerGone
 }
 
 // A database that the configuration doesn't name is told so, also in the middle of a
--- a/conductor/statement.go
+++ b/conductor/statement.go
@@ -15,7 +15,7 @@
 	Write
 	Execute
 	Begin
-	BeginRead
+	BeginReadOnly
 	Commit
 	Rollback
 	Set
--- a/configurator/check.go
+++ b/configurator/check.go
@@ -23,7 +23,7 @@
 	maxOpening     = 10000.0
 	maxRetries     = 1.0
 	minDeadline    = Duration(time.Millisecond)
-	maxDeadline    = Duration(limiter.LongestPatience)
+	maxDeadline    = Duration(limiter.MaxDefaultTimeout)
 	maxAge         = Duration(24 * time.Hour)
 )
 
@@ -175,8 +175,8 @@
 	if s.Writes != "" && s.Writes != WritesAllow && s.Writes != WritesRefuse {
 		f.add("writes", "%q is unknown; allowed: %s, %s", s.Writes, WritesAllow, WritesRefuse)
 	}
-	f.between("window", s.Window, 0, limiter.GreatestWindow)
-	f.between("queue", s.Queue, 0, limiter.GreatestLength)
+	f.between("window", s.Window, 0, limiter.MaxWindow)
+	f.between("queue", s.Queue, 0, limiter.MaxQueueLength)
 	f.between("reserved", s.Reserved, 0, maxConnections)
 	f.share("opening", s.Opening, maxOpening)
 	f.share("retries", s.Retries, maxRetries)
@@ -190,8 +190,8 @@
 		at := "classes." + name
 		f.class(at, name)
 		f.between(at+".weight", c.Weight, 0, maxWeight)
-		f.between(at+".slots", c.Slots, 0, limiter.GreatestWindow)
-		f.between(at+".queue", c.Queue, 0, limiter.GreatestLength)
+		f.between(at+".slots", c.Slots, 0, limiter.MaxWindow)
+		f.between(at+".queue", c.Queue, 0, limiter.MaxQueueLength)
 		f.lasting(at+".deadline", c.Deadline, minDeadline, maxDeadline)
 		f.lasting(at+".age", c.Age, 0, maxAge)
 	}
--- a/configurator/config.go
+++ b/configurator/config.go
@@ -169,13 +169,13 @@
 		return l, false
 	}
 	p := c.Workspaces[c.Pools[g.Pool].Workspace].Preset
-	l = limiter.Ordinary()
+	l = limiter.DefaultLimits()
 	l.Connections = g.Connections
 	l.Reserved = min(cmp.Or(p.Reserved, l.Reserved), g.Connections-1)
 	l.Window = cmp.Or(p.Window, l.Window)
 	l.Queue = cmp.Or(p.Queue, l.Queue)
-	l.Opening = cmp.Or(p.Opening, l.Opening)
-	l.Retries = cmp.Or(p.Retries, l.Retries)
+	l.OpenRate = cmp.Or(p.Opening, l.OpenRate)
+	l.RetryRatio = cmp.Or(p.Retries, l.RetryRatio)
 	l.Classes[limiter.Lookup] = classLimits(p.Classes[ClassLookup], l.Classes[limiter.Lookup])
 	l.Classes[limiter.Booking] = classLimits(p.Classes[ClassBooking], l.Classes[limiter.Booking])
 	return l, true
@@ -183,9 +183,9 @@
 
 func classLimits(c Class, ordinary limiter.ClassLimits) limiter.ClassLimits {
 	return limiter.ClassLimits{
-		Weight:   cmp.Or(c.Weight, ordinary.Weight),
-		Slots:    c.Slots,
-		Queue:    c.Queue,
-		Patience: cmp.Or(time.Duration(c.Deadline), ordinary.Patience),
+		Weight:         cmp.Or(c.Weight, ordinary.Weight),
+		Slots:          c.Slots,
+		Queue:          c.Queue,
+		DefaultTimeout: cmp.Or(time.Duration(c.Deadline), ordinary.DefaultTimeout),
 	}
 }
--- a/configurator/plan_test.go
+++ b/configurator/plan_test.go
@@ -180,7 +180,7 @@
 	is.True(ok)
 	is.NoErr(l.Check())
 	is.Equal(l.Window, 4)
-	is.Equal(l.Opening, 5.0)
+	is.Equal(l.OpenRate, 5.0)
 	who, ok := c.LimitsOf("kiosk")
 	is.True(ok)
 	is.True(!who.Writes)
@@ -202,7 +202,7 @@
 	is.True(ok)
 	is.NoErr(g2.Check())
 	is.Equal(g2.Connections, 35)
-	is.Equal(g2.Classes[limiter.Booking], limiter.ClassLimits{Weight: 2, Patience: 2 * time.Second})
+	is.Equal(g2.Classes[limiter.Booking], limiter.ClassLimits{Weight: 2, DefaultTimeout: 2 * time.Second})
 	is.Equal(g2.Classes[limiter.Lookup].Slots, 4)
 }
 
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -109,7 +109,7 @@
 		Sampling:   coordinator.Sampling{Active: 10 * time.Millisecond, Idle: 20 * time.Millisecond, Within: 200 * time.Millisecond, List: 50 * time.Millisecond},
 		Membership: membership.Settings{Period: 200 * time.Millisecond, Timeout: 100 * time.Millisecond, Suspicion: 300 * time.Millisecond},
 		Lease:      200 * time.Millisecond,
-		Leave:      leaver.Process{Lag: 50 * time.Millisecond, Settle: 20 * time.Millisecond, Spread: 100 * time.Millisecond},
+		Leave:      leaver.Process{MaxListAge: 50 * time.Millisecond, BalancerDelay: 20 * time.Millisecond, IdleDrainDuration: 100 * time.Millisecond},
 	}
 }
 
--- a/daemon/share.go
+++ b/daemon/share.go
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	return max(1, cmp.Or(least, limiter.Ordinary().Connections)-1)
+	return max(1, cmp.Or(least, limiter.DefaultLimits().Connections)-1)
 }
 
 // opening returns how many connections to each upstream of a group are opened a
@@ -46,10 +46,10 @@
 func opening(r *controller.Reconfigured, group string) float64 {
 	if r.Config != nil {
 		if l, ok := r.Config.GroupLimits(group); ok {
-			return l.Opening
+			return l.OpenRate
 		}
 	}
-	return limiter.Ordinary().Opening
+	return limiter.DefaultLimits().OpenRate
 }
 
 // sharing makes what divides the connections; nil without a platform.
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -114,10 +114,10 @@
 // fit sets what is not set so that it fits the limit: a wait for the list that is
 // as long as the whole stop would have each stop end at its deadline.
 func fit(p *leaver.Process, limit time.Duration) {
-	p.Limit = cmp.Or(p.Limit, limit, leaver.DefaultLimit)
-	p.Lag = cmp.Or(p.Lag, min(leaver.DefaultLag, p.Limit/3))
-	p.Settle = cmp.Or(p.Settle, min(leaver.DefaultSettle, p.Limit/6))
-	p.Spread = cmp.Or(p.Spread, min(leaver.DefaultSpread, p.Limit/4))
+	p.StopTimeout = cmp.Or(p.StopTimeout, limit, leaver.DefaultStopTimeout)
+	p.MaxListAge = cmp.Or(p.MaxListAge, min(leaver.DefaultMaxListAge, p.StopTimeout/3))
+	p.BalancerDelay = cmp.Or(p.BalancerDelay, min(leaver.DefaultBalancerDelay, p.StopTimeout/6))
+	p.IdleDrainDuration = cmp.Or(p.IdleDrainDuration, min(leaver.DefaultIdleDrainDuration, p.StopTimeout/4))
 }
 
 func (s *stopping) ended() error {
@@ -191,7 +191,7 @@
 		}
 	case leaver.CloseListener:
 		s.d.server.CloseListener()
-	case leaver.Count:
+	case leaver.CountSessions:
 		s.handedOver()
 		s.tell(s.load(cmd.Number))
 	case leaver.EndIdle:
@@ -243,7 +243,7 @@
 		s.tell(leaver.Listed{Live: false})
 		return
 	}
-	a := announcement{Address: s.d.Callers(), Zone: s.d.Settings.Zone, Until: time.Now().Add(s.process.Limit)}
+	a := announcement{Address: s.d.Callers(), Zone: s.d.Settings.Zone, Until: time.Now().Add(s.process.StopTimeout)}
 	go func() { s.tell(leaver.Announced{OK: s.d.announce(a) == nil}) }()
 }
 
@@ -288,9 +288,9 @@
 	}
 }
 
-func (s *stopping) load(number int) leaver.Load {
+func (s *stopping) load(number int) leaver.SessionCounts {
 	l := s.d.server.Load()
-	out := leaver.Load{Number: number, Idle: l.Idle, Ended: l.Ended, Finished: l.Finished}
+	out := leaver.SessionCounts{Number: number, Idle: l.Idle, Ended: l.Ended, Finished: l.Finished}
 	for _, b := range l.Busy {
 		out.Busy = append(out.Busy, leaver.Session{
 			ID: strconv.FormatUint(uint64(b.Process), 10), Tenant: b.Tenant, Transaction: b.Transaction,
@@ -301,8 +301,8 @@
 
 func (s *stopping) returnShares() {
 	if s.d.Return == nil {
-		s.tell(leaver.Returned{OK: true})
+		s.tell(leaver.SharesReturned{OK: true})
 		return
 	}
-	go func() { s.tell(leaver.Returned{OK: s.d.Return() == nil}) }()
+	go func() { s.tell(leaver.SharesReturned{OK: s.d.Return() == nil}) }()
 }
--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -37,9 +37,9 @@
 	f.daemons[1].Hasten()
 	var cut *CutError
 	is.True(errors.As(f.ended(1), &cut))
-	is.Equal(cut.Summary.Reason, leaver.Again)
-	is.Equal(len(cut.Summary.Cut), 1)
-	is.True(cut.Summary.Cut[0].Transaction)
+	is.Equal(cut.Summary.Reason, leaver.SecondSignal)
+	is.Equal(len(cut.Summary.Interrupted), 1)
+	is.True(cut.Summary.Interrupted[0].Transaction)
 }
 
 // rests reports whether the only busy session of a process rests in a transaction.
--- a/demonstrator/stage.go
+++ b/demonstrator/stage.go
@@ -160,7 +160,7 @@
 			Stop:      loader.DefaultStop,
 		},
 		// Nothing balances here: there is no list to wait out.
-		Leave: leaver.Process{Lag: 200 * time.Millisecond, Settle: 100 * time.Millisecond, Spread: 200 * time.Millisecond},
+		Leave: leaver.Process{MaxListAge: 200 * time.Millisecond, BalancerDelay: 100 * time.Millisecond, IdleDrainDuration: 200 * time.Millisecond},
 		Log:   log,
 	}
 	return p
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -105,7 +105,7 @@
 }
 
 func (b *bench) running(a netip.AddrPort) int {
-	return b.group("g").gates.get(a, limiter.Ordinary()).Queue.Running()
+	return b.group("g").gates.get(a, limiter.DefaultLimits()).Queue.Running()
 }
 
 const (
@@ -187,7 +187,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t)
-		l := limiter.Ordinary()
+		l := limiter.DefaultLimits()
 		l.Window = 1
 		b.group("g").gates.apply(l)
 		for range 50 { // a statement takes 100 ms
@@ -216,7 +216,7 @@
 		is := is.New(t)
 		b := newBench(t)
 		b.notes.Known = true
-		l := limiter.Ordinary()
+		l := limiter.DefaultLimits()
 		l.Window, l.Queue = 2, 8
 		b.group("g").gates.apply(l)
 		var work sync.WaitGroup
@@ -287,7 +287,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t)
-		l := limiter.Ordinary()
+		l := limiter.DefaultLimits()
 		l.Window = 1
 		b.group("g").gates.apply(l)
 		open, refusal := b.route(write, time.Second)
--- a/dispatcher/gates.go
+++ b/dispatcher/gates.go
@@ -77,12 +77,12 @@
 func (d *Dispatcher) limitsOf(group string) limiter.Limits {
 	r := d.Control.Config()
 	if r == nil || r.Config == nil {
-		return limiter.Ordinary()
+		return limiter.DefaultLimits()
 	}
 	if l, ok := r.Config.GroupLimits(group); ok {
 		return l
 	}
-	return limiter.Ordinary()
+	return limiter.DefaultLimits()
 }
 
 func limiterClass(c relayer.Class) (limiter.Class, bool) {
--- a/dispatcher/observe.go
+++ b/dispatcher/observe.go
@@ -38,7 +38,7 @@
 func (d *Dispatcher) Release(t relayer.Target, served bool) {
 	g := d.group(t.Group)
 	if t.Ticket != 0 {
-		g.gates.get(t.Address, limiter.Ordinary()).Release(limiter.Ticket(t.Ticket), served)
+		g.gates.get(t.Address, limiter.DefaultLimits()).Release(limiter.Ticket(t.Ticket), served)
 	}
 	v := g.view.Load()
 	if v == nil || t.Token == 0 {
--- a/fetcher/fetcher.go
+++ b/fetcher/fetcher.go
@@ -36,9 +36,9 @@
 
 // The outcomes.
 const (
-	Told   Outcome = iota // it answered, and what it told has been taken in
-	Busy                  // it refused at once: it is sending to others
-	Failed                // no whole answer came in time
+	Delivered Outcome = iota // it answered, and what it told has been taken in
+	Busy                     // it refused at once: it is sending to others
+	Failed                   // no whole answer came in time
 )
 
 // Fetcher is the state of getting one thing. Its zero value holds nothing and has heard
@@ -65,8 +65,8 @@
 	after   time.Time // it isn't asked before
 }
 
-// Hold takes in the version that this process has.
-func (f *Fetcher) Hold(version versioner.Version) {
+// SetHeld takes in the version that this process has.
+func (f *Fetcher) SetHeld(version versioner.Version) {
 	if !f.held.Less(version) {
 		return
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Hear takes in that a peer has a version.
-func (f *Fetcher) Hear(peer netip.AddrPort, version versioner.Version, now time.Time) {
+// AddOffer takes in that a peer has a version.
+func (f *Fetcher) AddOffer(peer netip.AddrPort, version versioner.Version, now time.Time) {
 	if !f.held.Less(version) {
 		return
 	}
@@ -126,7 +126,7 @@
 		return
 	}
 	switch outcome {
-	case Told:
+	case Delivered:
 		if f.offers[i].version == f.asked { // it no longer has what it said
 			f.offers = slices.Delete(f.offers, i, i+1)
 		}
--- a/fetcher/fetcher_test.go
+++ b/fetcher/fetcher_test.go
@@ -24,8 +24,8 @@
 func TestNothingIsAskedForThatIsHeld(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
-	f.Hold(version(5))
-	f.Hear(peer(1), version(5), now)
+	f.SetHeld(version(5))
+	f.AddOffer(peer(1), version(5), now)
 	_, ok := f.Next(now.Add(time.Hour))
 	is.True(!ok)
 }
@@ -33,15 +33,15 @@
 func TestOnePeerIsAskedAtATime(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
-	f.Hear(peer(1), version(2), now)
-	f.Hear(peer(2), version(2), now)
+	f.AddOffer(peer(1), version(2), now)
+	f.AddOffer(peer(2), version(2), now)
 	s, ok := f.Next(now)
 	is.True(ok)
 	is.True(!s.IsStore())
 	_, ok = f.Next(now)
 	is.True(!ok)
-	f.Hold(version(2))
-	f.Done(s, Told, now)
+	f.SetHeld(version(2))
+	f.Done(s, Delivered, now)
 	_, ok = f.Next(now.Add(time.Hour))
 	is.True(!ok)
 }
@@ -51,12 +51,12 @@
 	for _, outcome := range []Outcome{Busy, Failed} {
 		is := is.New(t)
 		f, now := newFetcher()
-		f.Hear(peer(1), version(2), now)
+		f.AddOffer(peer(1), version(2), now)
 		first, ok := f.Next(now)
 		is.True(ok)
-		f.Hear(peer(2), version(2), now)
+		f.AddOffer(peer(2), version(2), now)
 		f.Done(first, outcome, now)
-		f.Hear(peer(1), version(2), now) // what it says doesn't make it less busy
+		f.AddOffer(peer(1), version(2), now) // what it says doesn't make it less busy
 		second, ok := f.Next(now)
 		is.True(ok)
 		is.Equal(second, Source{Peer: peer(2)})
@@ -73,10 +73,10 @@
 func TestAPeerThatHasNothingNewIsForgotten(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
-	f.Hear(peer(1), version(2), now)
+	f.AddOffer(peer(1), version(2), now)
 	s, ok := f.Next(now)
 	is.True(ok)
-	f.Done(s, Told, now)
+	f.Done(s, Delivered, now)
 	_, ok = f.Next(now)
 	is.True(!ok)
 }
@@ -86,13 +86,13 @@
 	is := is.New(t)
 	f, now := newFetcher()
 	began := now
-	f.Hear(peer(1), version(2), now)
+	f.AddOffer(peer(1), version(2), now)
 	s, _ := f.Next(now)
 	is.True(!s.IsStore())
 	var reads []time.Duration
 	for now.Sub(began) < 8*time.Second {
 		now = now.Add(100 * time.Millisecond)
-		f.Hear(peer(2), version(2), now) // others go on to say that they have it
+		f.AddOffer(peer(2), version(2), now) // others go on to say that they have it
 		if s, ok := f.Next(now); ok && s.IsStore() {
 			reads = append(reads, now.Sub(began))
 			f.Done(s, Failed, now)
@@ -112,15 +112,15 @@
 	f, now := newFetcher()
 	for n := uint64(2); n < 40; n++ {
 		if n == 2 {
-			f.Hear(peer(1), version(n), now)
+			f.AddOffer(peer(1), version(n), now)
 		}
 		s, ok := f.Next(now)
 		is.True(ok)
 		is.True(!s.IsStore())
-		f.Hear(peer(1), version(n+1), now) // while it sends the one before
+		f.AddOffer(peer(1), version(n+1), now) // while it sends the one before
 		now = now.Add(300 * time.Millisecond)
-		f.Hold(version(n))
-		f.Done(s, Told, now)
+		f.SetHeld(version(n))
+		f.Done(s, Delivered, now)
 	}
 }
 
@@ -129,18 +129,18 @@
 	is := is.New(t)
 	f, now := newFetcher()
 	for i := range 200 {
-		f.Hear(peer(i), version(2), now)
+		f.AddOffer(peer(i), version(2), now)
 	}
 	is.Equal(len(f.offers), mostOffers)
-	f.Hold(version(2))
+	f.SetHeld(version(2))
 	is.Equal(len(f.offers), 0)
 }
 
 func TestTheNewestVersionIsAskedFor(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
-	f.Hear(peer(1), version(3), now)
-	f.Hear(peer(2), version(2), now)
+	f.AddOffer(peer(1), version(3), now)
+	f.AddOffer(peer(2), version(2), now)
 	s, ok := f.Next(now)
 	is.True(ok)
 	is.Equal(s, Source{Peer: peer(1)})
--- a/forwarder/affinity.go
+++ b/forwarder/affinity.go
@@ -18,8 +18,8 @@
 // precedes reports whether a peer goes before another one for a workspace: one that
 // reaches the leader first, then by affinity.
 func (f *Forwarder) precedes(w wish, p, other Candidate, now time.Time) bool {
-	reaches := f.trouble(w.group, p, now).Reaches()
-	if reaches != f.trouble(w.group, other, now).Reaches() {
+	reaches := f.trouble(w.group, p, now).IsLeaderReachable()
+	if reaches != f.trouble(w.group, other, now).IsLeaderReachable() {
 		return reaches
 	}
 	return affinity(w.group, w.workspace, p.Name) > affinity(w.group, w.workspace, other.Name)
@@ -28,7 +28,7 @@
 // prefers reports whether a statement that this process could carry goes to a peer all
 // the same, since that one has its workspace's connections.
 func (f *Forwarder) prefers(w wish, p Candidate) bool {
-	if w.workspace == "" || !f.trouble(w.group, p, f.Now()).Reaches() {
+	if w.workspace == "" || !f.trouble(w.group, p, f.Now()).IsLeaderReachable() {
 		return false
 	}
 	return affinity(w.group, w.workspace, p.Name) > affinity(w.group, w.workspace, f.Name)
--- a/forwarder/affinity_test.go
+++ b/forwarder/affinity_test.go
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	f := newFleet("a", "b", "c")
 	for _, p := range f.peers[:2] {
-		p.Groups["g"] = gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable}
+		p.Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
 	}
 	for i := range 20 {
 		f.asked = nil
--- a/forwarder/candidate.go
+++ b/forwarder/candidate.go
@@ -9,13 +9,13 @@
 
 // Candidate is a peer that carries for a group.
 type Candidate struct {
-	Name    string
-	Zone    string
-	Address netip.AddrPort // for statements
-	Heard   time.Time
-	// Trouble is what it said lately of the group's leader, if Known.
-	Trouble gossiper.Trouble
-	Known   bool
+	Name     string
+	Zone     string
+	Address  netip.AddrPort // for statements
+	LastSeen time.Time
+	// LeaderFault is what it said lately of the group's leader, if Known.
+	LeaderFault  gossiper.LeaderFault
+	IsFaultKnown bool
 }
 
 const (
@@ -35,17 +35,17 @@
 
 // note is what a peer said, and until when it counts.
 type note struct {
-	trouble gossiper.Trouble
+	trouble gossiper.LeaderFault
 	until   time.Time
 }
 
 // note takes in what a peer says of a group's leader with an answer. A process that
 // doesn't carry for a group hears of it by this.
-func (f *Forwarder) note(group string, p Candidate, trouble gossiper.Trouble) {
+func (f *Forwarder) note(group string, p Candidate, trouble gossiper.LeaderFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := subject{p.Address, group}
-	if trouble == gossiper.NoTrouble {
+	if trouble == gossiper.NoFault {
 		delete(f.noted, key)
 		return
 	}
@@ -57,17 +57,17 @@
 
 // word returns what a peer said lately of a group's leader, with an answer or by
 // gossip, and whether it said anything.
-func (f *Forwarder) word(group string, p Candidate, now time.Time) (gossiper.Trouble, bool) {
+func (f *Forwarder) word(group string, p Candidate, now time.Time) (gossiper.LeaderFault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n, ok := f.noted[subject{p.Address, group}]; ok && now.Before(n.until) {
 		return n.trouble, true
 	}
-	return p.Trouble, p.Known
+	return p.LeaderFault, p.IsFaultKnown
 }
 
 // trouble returns what is wrong with a group's leader at a peer, as far as is known.
-func (f *Forwarder) trouble(group string, p Candidate, now time.Time) gossiper.Trouble {
+func (f *Forwarder) trouble(group string, p Candidate, now time.Time) gossiper.LeaderFault {
 	trouble, _ := f.word(group, p, now)
 	return trouble
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -41,10 +41,10 @@
 type Forwarder struct {
 	// Local finds the groups of this process.
 	Local func(name string) (*carrier.Group, bool)
-	// Carriers returns the peers that carry for a group and that nobody says are silent.
-	Carriers func(group string) []Candidate
-	// Trouble, when set, returns what this process finds wrong with a group's leader.
-	Trouble func(group string) gossiper.Trouble
+	// Gateways returns the peers that carry for a group and that nobody says are silent.
+	Gateways func(group string) []Candidate
+	// LeaderFault, when set, returns what this process finds wrong with a group's leader.
+	LeaderFault func(group string) gossiper.LeaderFault
 	// Send hands a payload to the peer at an address and returns its answer.
 	Send func(ctx context.Context, to netip.AddrPort, payload json.RawMessage) (json.RawMessage, error)
 	// Name and Zone are this process's, the latter its availability zone.
@@ -107,11 +107,11 @@
 	var best []Candidate
 	rank := 0
 	now := f.Now()
-	for _, p := range f.Carriers(w.group) {
+	for _, p := range f.Gateways(w.group) {
 		if !p.Address.IsValid() || w.tried[p.Address] || f.shunned(p, now) {
 			continue
 		}
-		reaches := f.trouble(w.group, p, now).Reaches()
+		reaches := f.trouble(w.group, p, now).IsLeaderReachable()
 		own := f.rank(p, reaches)
 		switch {
 		case w.leader && !reaches, own < rank && w.workspace == "":
@@ -141,12 +141,12 @@
 	return rank
 }
 
-// Reaches reports whether a live peer carries for a group, whatever it finds of the
+// HasLiveGateway reports whether a live peer carries for a group, whatever it finds of the
 // leader: while that is being replaced all carriers find it bad, and a process that
 // took itself for cut off would go to the upstreams on its own.
-func (f *Forwarder) Reaches(group string) bool {
+func (f *Forwarder) HasLiveGateway(group string) bool {
 	now := f.Now()
-	for _, p := range f.Carriers(group) {
+	for _, p := range f.Gateways(group) {
 		if !f.shunned(p, now) {
 			return true
 		}
@@ -161,12 +161,12 @@
 func (f *Forwarder) Blind(group string) bool {
 	blind, silent := 0, 0
 	now := f.Now()
-	for _, p := range f.Carriers(group) {
+	for _, p := range f.Gateways(group) {
 		trouble, known := f.word(group, p, now)
 		switch {
 		case !known:
 			silent++
-		case trouble != gossiper.Blind:
+		case trouble != gossiper.Isolated:
 			return false
 		default:
 			blind++
@@ -180,12 +180,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, lost := f.lost[p.Address]
-	return lost && now.Sub(at) < shunFor && !p.Heard.After(at)
+	return lost && now.Sub(at) < shunFor && !p.LastSeen.After(at)
 }
 
 // miss passes a peer over for a while.
 func (f *Forwarder) miss(p Candidate, err error) {
-	f.Log.Info("forwarder: peer lost", zap.String("peer", p.Name), zap.Duration("heard", f.Now().Sub(p.Heard)), zap.Error(err))
+	f.Log.Info("forwarder: peer lost", zap.String("peer", p.Name), zap.Duration("heard", f.Now().Sub(p.LastSeen)), zap.Error(err))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lost == nil {
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -34,17 +34,17 @@
 
 func newFleet(zones ...string) *fleet {
 	f := &fleet{now: time.Unix(1000, 0), fails: map[netip.AddrPort]error{}}
-	c := &carrier.Carrier{Now: func() time.Time { return f.now }, Log: zap.NewNop(), Carry: func(map[string]int, int) map[string]int { return map[string]int{"g": 0} }}
-	c.Divide(10, []cataloger.GroupSettings{{Name: "g", Connections: 40}})
+	c := &carrier.Registry{Now: func() time.Time { return f.now }, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": 0} }}
+	c.DivideConnections(10, []cataloger.GroupSettings{{Name: "g", MaxConnections: 40}})
 	c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
 	for i, zone := range zones {
-		f.peers = append(f.peers, gossiper.Peer{Heard: f.now, State: gossiper.State{
-			Name: zone, Zone: zone, Carries: at(byte(i)), Groups: map[string]gossiper.GroupState{"g": {Carries: true}},
+		f.peers = append(f.peers, gossiper.Peer{LastSeen: f.now, State: gossiper.State{
+			Name: zone, Zone: zone, GatewayAddr: at(byte(i)), Groups: map[string]gossiper.GroupState{"g": {IsGateway: true}},
 		}})
 	}
 	f.Local, f.Zone, f.Log = c.Group, "home", zap.NewNop()
 	f.Now = func() time.Time { return f.now }
-	f.Carriers = f.carriers
+	f.Gateways = f.carriers
 	f.Send = f.send
 	return f
 }
@@ -52,8 +52,8 @@
 func (f *fleet) carriers(group string) []Candidate {
 	var out []Candidate
 	for _, p := range f.peers {
-		if state := p.Groups[group]; state.Carries {
-			out = append(out, Candidate{Name: p.Name, Zone: p.Zone, Address: p.Carries, Heard: p.Heard, Trouble: state.Trouble, Known: true})
+		if state := p.Groups[group]; state.IsGateway {
+			out = append(out, Candidate{Name: p.Name, Zone: p.Zone, Address: p.GatewayAddr, LastSeen: p.LastSeen, LeaderFault: state.LeaderFault, IsFaultKnown: true})
 		}
 	}
 	return out
@@ -120,7 +120,7 @@
 	is.Equal(f.asked, []netip.AddrPort{at(0)})
 	f.asked = nil
 	delete(f.fails, at(1))
-	f.peers[1].Heard = f.now
+	f.peers[1].LastSeen = f.now
 	f.run(false)
 	is.Equal(f.asked, []netip.AddrPort{at(1)})
 }
@@ -129,15 +129,15 @@
 func TestReaches(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home")
-	is.True(f.Reaches("g"))
-	is.True(!f.Reaches("other"))
-	f.peers[0].Groups["g"] = gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable}
-	is.True(f.Reaches("g")) // the leader is gone, not the peer
-	f.peers[0].Groups["g"] = gossiper.GroupState{Carries: true}
+	is.True(f.HasLiveGateway("g"))
+	is.True(!f.HasLiveGateway("other"))
+	f.peers[0].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
+	is.True(f.HasLiveGateway("g")) // the leader is gone, not the peer
+	f.peers[0].Groups["g"] = gossiper.GroupState{IsGateway: true}
 	f.fails[at(0)] = errors.Mark(errLost, ErrUnsent)
 	runner, _ := f.Group("g")
 	runner.Run(&carrier.Job{Arrived: f.now, Deadline: time.Now().Add(60 * time.Millisecond)}, carrier.Command{Verb: carrier.Read, ID: "r"})
-	is.True(!f.Reaches("g"))
+	is.True(!f.HasLiveGateway("g"))
 }
 
 // Symptom: after a loss of power everywhere statements are refused a second after
@@ -165,19 +165,19 @@
 func TestReadsThatNeedNoLeaderGoToPeersThatMissIt(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
-	missing := gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable}
+	missing := gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
 	f.peers[0].Groups["g"], f.peers[1].Groups["g"] = missing, missing
 	_, found := f.peer(wish{group: "g", leader: true})
 	is.True(!found)
 	p, found := f.peer(wish{group: "g"})
 	is.True(found)
 	is.Equal(p.Zone, "home")
-	f.peers[1].Groups["g"] = gossiper.GroupState{Carries: true}
+	f.peers[1].Groups["g"] = gossiper.GroupState{IsGateway: true}
 	p, _ = f.peer(wish{group: "g"})
 	is.Equal(p.Zone, "away") // it reaches the leader, too
 	runner, _ := f.Group("g")
 	f.peers[1].Groups["g"] = missing
-	job := &carrier.Job{Freshness: cataloger.Bounded, MaxAge: time.Second, Arrived: f.now, Deadline: time.Now().Add(time.Second)}
+	job := &carrier.Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: f.now, Deadline: time.Now().Add(time.Second)}
 	is.Equal(runner.Run(job, carrier.Command{Verb: carrier.Read, ID: "r"}).Code, carrier.OK)
 }
 
@@ -190,12 +190,12 @@
 	is.True(!f.Blind("g"))
 	for i := range f.peers {
 		is.True(!f.Blind("g"))
-		f.peers[i].Groups["g"] = gossiper.GroupState{Carries: true, Trouble: gossiper.Blind}
+		f.peers[i].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Isolated}
 	}
 	is.True(f.Blind("g"))
 	is.Equal(f.run(true).Code, carrier.Busy)
 	is.Equal(len(f.asked), 0)
-	f.peers[1].Groups["g"] = gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable}
+	f.peers[1].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
 	is.True(!f.Blind("g")) // that one may reach the next leader
 	f.peers = nil
 	is.True(!f.Blind("g")) // nobody is heard: a process that has just started
@@ -208,7 +208,7 @@
 func TestWhatAPeerSaysWithAnAnswerCounts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
-	f.Carriers = func(string) []Candidate {
+	f.Gateways = func(string) []Candidate {
 		return []Candidate{{Name: "home", Zone: "home", Address: at(0)}, {Name: "away", Zone: "away", Address: at(1)}}
 	}
 	troubled := at(0)
@@ -235,10 +235,10 @@
 	is := is.New(t)
 	f := newFleet()
 	blind := func(i byte) Candidate {
-		return Candidate{Name: "b", Address: at(i), Trouble: gossiper.Blind, Known: true}
+		return Candidate{Name: "b", Address: at(i), LeaderFault: gossiper.Isolated, IsFaultKnown: true}
 	}
-	f.Carriers = func(string) []Candidate { return []Candidate{blind(0), blind(1), {Address: at(2)}, {Address: at(3)}} }
+	f.Gateways = func(string) []Candidate { return []Candidate{blind(0), blind(1), {Address: at(2)}, {Address: at(3)}} }
 	is.True(!f.Blind("g"))
-	f.Carriers = func(string) []Candidate { return []Candidate{blind(0), blind(1), blind(2), {Address: at(3)}} }
+	f.Gateways = func(string) []Candidate { return []Candidate{blind(0), blind(1), blind(2), {Address: at(3)}} }
 	is.True(f.Blind("g")) // as many as a statement is offered to
 }
--- a/forwarder/message.go
+++ b/forwarder/message.go
@@ -54,14 +54,14 @@
 	// Refused says that nothing was tried: the peer can't serve the group now.
 	Refused bool `json:"refused,omitempty"`
 	// Trouble is what the peer finds wrong with the group's leader.
-	Trouble gossiper.Trouble `json:"trouble,omitempty"`
+	Trouble gossiper.LeaderFault `json:"trouble,omitempty"`
 }
 
 // asked returns the request for a job.
 func asked(a action, group string, j *carrier.Job, cmd carrier.Command, now time.Time) request {
 	return request{
-		Action: a, Group: group, Request: j.Request, Workspace: j.Workspace, Freshness: j.Freshness, MaxAge: j.MaxAge, Own: j.Own, Writes: j.Writes,
-		Age: now.Sub(j.Arrived), Left: time.Until(j.Deadline), Aim: j.Aim.Sub(now), Values: j.Values, Prepared: j.Prepared, Command: cmd,
+		Action: a, Group: group, Request: j.Request, Workspace: j.Workspace, Freshness: j.Freshness, MaxAge: j.MaxAge, Own: j.LastWrite, Writes: j.Writes,
+		Age: now.Sub(j.Arrived), Left: time.Until(j.Deadline), Aim: j.ObjectiveAt.Sub(now), Values: j.Values, Prepared: j.Prepared, Command: cmd,
 	}
 }
 
@@ -70,7 +70,7 @@
 // older.
 func (r *request) job(now time.Time) *carrier.Job {
 	return &carrier.Job{
-		Request: r.Request, Workspace: r.Workspace, Freshness: r.Freshness, MaxAge: r.MaxAge, Own: r.Own, Writes: r.Writes,
-		Arrived: now.Add(-r.Age), Aim: now.Add(r.Aim), Deadline: time.Now().Add(r.Left), Values: r.Values, Prepared: r.Prepared,
+		Request: r.Request, Workspace: r.Workspace, Freshness: r.Freshness, MaxAge: r.MaxAge, LastWrite: r.Own, Writes: r.Writes,
+		Arrived: now.Add(-r.Age), ObjectiveAt: now.Add(r.Aim), Deadline: time.Now().Add(r.Left), Values: r.Values, Prepared: r.Prepared,
 	}
 }
--- a/forwarder/path.go
+++ b/forwarder/path.go
@@ -27,7 +27,7 @@
 
 func (p *path) turn(j *carrier.Job) *turn {
 	t := &turn{p: p, job: j}
-	j.Elsewhere = func() bool {
+	j.CanForward = func() bool {
 		_, ok := p.f.peer(t.wish())
 		return ok && len(t.tried) < hops
 	}
@@ -35,7 +35,7 @@
 }
 
 func (t *turn) wish() wish {
-	return wish{group: t.p.group.Name(), workspace: t.job.Workspace, leader: t.job.Latest(), tried: t.tried}
+	return wish{group: t.p.group.Name(), workspace: t.job.Workspace, leader: t.job.RequiresLeader(), tried: t.tried}
 }
 
 // next says who is to carry the statement: this process, or the peer that is
@@ -47,13 +47,13 @@
 			peer, found = t.p.f.peer(t.wish())
 		}
 		better := found && t.p.f.prefers(t.wish(), peer)
-		if !better && t.p.group.Serves(t.job) {
+		if !better && t.p.group.CanServe(t.job) {
 			return peer, true, true
 		}
 		if found {
 			return peer, false, true
 		}
-		if t.p.group.Carries() {
+		if t.p.group.IsGateway() {
 			return peer, true, true // it waits for a leader there
 		}
 		if t.p.f.Blind(t.p.group.Name()) || !t.wait() {
@@ -72,7 +72,7 @@
 		return false
 	}
 	select {
-	case <-t.job.Gone:
+	case <-t.job.CallerGone:
 		return false
 	case <-time.After(t.pause):
 		clear(t.tried) // one that was lost is passed over until it is heard again
@@ -89,7 +89,7 @@
 }
 
 // elsewhere reports whether an answer means that somebody else is to be asked.
-func elsewhere(a carrier.Answer) bool { return a.Code == carrier.Unplaced }
+func elsewhere(a carrier.Answer) bool { return a.Code == carrier.Unavailable }
 
 // nobody is the answer when nobody could carry the statement in time.
 func nobody() carrier.Answer {
--- a/forwarder/server.go
+++ b/forwarder/server.go
@@ -34,8 +34,8 @@
 	rest *time.Timer
 }
 
-// Open returns how many transactions are carried for peers.
-func (f *Forwarder) Open() int {
+// OpenTransactions returns how many transactions are carried for peers.
+func (f *Forwarder) OpenTransactions() int {
 	f.serving.mu.Lock()
 	defer f.serving.mu.Unlock()
 	return len(f.serving.open)
@@ -49,8 +49,8 @@
 		return nil, errors.Wrap(err, "forwarder: request")
 	}
 	resp := f.serve(peer, &r)
-	if f.Trouble != nil {
-		resp.Trouble = f.Trouble(r.Group)
+	if f.LeaderFault != nil {
+		resp.Trouble = f.LeaderFault(r.Group)
 	}
 	out, err := json.Marshal(resp)
 	return out, errors.Wrap(err, "forwarder: response")
@@ -63,18 +63,18 @@
 		return f.inside(k, r)
 	}
 	g, ok := f.Local(r.Group)
-	if !ok || !g.Carries() {
+	if !ok || !g.IsGateway() {
 		return response{Refused: true}
 	}
 	if r.Action == takeSample {
-		mark, ok := g.Sample()
+		mark, ok := g.SampleLeader()
 		return response{Answer: carrier.Answer{Mark: mark}, Refused: !ok}
 	}
 	j := r.job(f.Now())
-	if !g.Serves(j) {
+	if !g.CanServe(j) {
 		return response{Refused: true}
 	}
-	j.Elsewhere = func() bool { return true } // the sender asks the next one rather than wait here
+	j.CanForward = func() bool { return true } // the sender asks the next one rather than wait here
 	switch r.Action {
 	case runOne:
 		return response{Answer: g.Run(j, r.Command)}
--- a/gossiper/fleet_test.go
+++ b/gossiper/fleet_test.go
@@ -48,7 +48,7 @@
 			most += min(n-1, len(p.near)+rings+strangers)
 		}
 		f.datagrams, f.statements, f.lists = 0, 0, 0
-		f.RunFor(rounds * Period)
+		f.RunFor(rounds * RoundInterval)
 		t.Logf("%.1f datagrams a process and round, of them %.1f to those that carry together", float64(f.datagrams)/float64(n*rounds), float64(most)/float64(n)-rings-strangers)
 		is.True(f.datagrams <= most*(rounds+1))
 		is.Equal(f.statements, 0)
@@ -74,7 +74,7 @@
 		if n > few {
 			is.True(f.passed <= n*rings)
 		}
-		f.RunFor(Period)
+		f.RunFor(RoundInterval)
 		for _, p := range f.procs {
 			is.Equal(p.config, uint64(1))
 		}
@@ -255,19 +255,19 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var r Roster
-	r.Join(Member{Name: "self", Start: 1})
+	r.SetSelf(Member{Name: "self", Start: 1})
 	for i := range 9 {
-		r.Hear(State{Name: fmt.Sprint("p", i), Peers: at(i)}, now)
+		r.Receive(State{Name: fmt.Sprint("p", i), GossipAddr: at(i)}, now)
 	}
 	for range 3 {
 		r.Sweep(now)
-		now = now.Add(Period)
+		now = now.Add(RoundInterval)
 	}
 	now = now.Add(5 * time.Second)
 	r.Sweep(now)
 	is.Equal(len(r.news.items), 9) // that they are new, and nothing else
 	for _, it := range r.news.items {
-		is.Equal(it.Condition, Present)
+		is.Equal(it.Condition, Alive)
 	}
 }
 
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -20,29 +20,29 @@
 // A process that has just started sends more often: what it says of its groups lets the
 // others begin, and those that accused it hear that it is back.
 const (
-	greetEvery = Period / 2
+	greetEvery = RoundInterval / 2
 	greetFor   = 2 * time.Second
 )
 
-// Together is how far apart the processes of a fleet that is started as a whole may
+// JoinWindow is how far apart the processes of a fleet that is started as a whole may
 // write their entries into the store's list. One that is new reads the list once more
 // after it: what it read before lacks those that came later, and each would have
 // another list.
-const Together = 600 * time.Millisecond
+const JoinWindow = 600 * time.Millisecond
 
 // Gossiper sends and receives. Set the exported fields before Start.
 type Gossiper struct {
 	Address netip.AddrPort
 	// Self returns the state to send.
 	Self func() State
-	// Heard, when set, is called for each datagram of a peer.
-	Heard func(State)
-	// Other, when set, is called for each datagram that isn't a state, from the address
+	// OnState, when set, is called for each datagram of a peer.
+	OnState func(State)
+	// OnDatagram, when set, is called for each datagram that isn't a state, from the address
 	// of its sender. The bytes are valid until it returns.
-	Other func(b []byte, from netip.AddrPort)
-	// Dropped, when set, is called with the name of a peer that hasn't been heard for
+	OnDatagram func(b []byte, from netip.AddrPort)
+	// OnForgotten, when set, is called with the name of a peer that hasn't been heard for
 	// so long that it is gone for good.
-	Dropped func(name string)
+	OnForgotten func(name string)
 	// Now is a clock that also counts the time in which the machine is suspended.
 	Now func() time.Time
 	Log *zap.Logger
@@ -68,7 +68,7 @@
 	}
 	g.conn = conn
 	self := g.Self()
-	g.roster.Join(self.member())
+	g.roster.SetSelf(self.member())
 	g.done = make(chan struct{})
 	g.news = make(chan struct{}, 1)
 	g.passed = make(chan struct{}, 1)
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Bound returns the address of the socket, after Start.
-func (g *Gossiper) Bound() netip.AddrPort { return g.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+// LocalAddr returns the address of the socket, after Start.
+func (g *Gossiper) LocalAddr() netip.AddrPort { return g.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Stop closes the socket.
 func (g *Gossiper) Stop() {
@@ -86,15 +86,15 @@
 	_ = g.conn.Close() // nothing more is sent or awaited
 }
 
-// Tell sends a round at once, for those that decide together with this process. Several
+// NotifyPeers sends a round at once, for those that decide together with this process. Several
 // calls in a row make one round.
-func (g *Gossiper) Tell() { wake(g.news) }
+func (g *Gossiper) NotifyPeers() { wake(g.news) }
 
-// Pass tells the next on the circles at once that this process knows something newer of
+// NotifySuccessors tells the next on the circles at once that this process knows something newer of
 // the store. Each that didn't passes it on, so that all come to know it. Told to all that
 // a round goes to, each change would cost more datagrams the more carry together, most of
 // them to processes that know.
-func (g *Gossiper) Pass() { wake(g.passed) }
+func (g *Gossiper) NotifySuccessors() { wake(g.passed) }
 
 // wake has something done that may be under way.
 func wake(c chan<- struct{}) {
@@ -104,12 +104,12 @@
 	}
 }
 
-// Learn takes in what the store lists of a process: its name, availability zone,
+// AddListed takes in what the store lists of a process: its name, availability zone,
 // processor and addresses.
-func (g *Gossiper) Learn(s State) {
+func (g *Gossiper) AddListed(s State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.roster.Learn(s, g.Now())
+	g.roster.AddListed(s, g.Now())
 }
 
 // Members returns the list of the fleet, for a peer whose own differs.
@@ -119,8 +119,8 @@
 	return g.roster.Members()
 }
 
-// Take takes in the list of a peer.
-func (g *Gossiper) Take(list []Member) {
+// Merge takes in the list of a peer.
+func (g *Gossiper) Merge(list []Member) {
 	g.mu.Lock()
 	g.roster.Take(list, g.Now())
 	changes := g.roster.Changes()
@@ -140,8 +140,8 @@
 	}
 }
 
-// Unread returns how many datagrams came that can't be read.
-func (g *Gossiper) Unread() int64 { return g.unread.Load() }
+// DecodeErrors returns how many datagrams came that can't be read.
+func (g *Gossiper) DecodeErrors() int64 { return g.unread.Load() }
 
 // drop counts a datagram that can't be read, and logs one a second at most: whoever sends
 // them, broken or of a later version, would fill the log.
@@ -162,8 +162,8 @@
 	return g.roster.digest
 }
 
-// Lacks reports whether to ask a peer for its list, whose hash it told.
-func (g *Gossiper) Lacks(digest uint32) bool {
+// ShouldRequestList reports whether to ask a peer for its list, whose hash it told.
+func (g *Gossiper) ShouldRequestList(digest uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Lacks(digest, g.Now())
@@ -176,11 +176,11 @@
 	return g.roster.Fleet()
 }
 
-// Near sets who carries for the same groups as this process.
-func (g *Gossiper) Near(names []string) {
+// SetGroupPeers sets who carries for the same groups as this process.
+func (g *Gossiper) SetGroupPeers(names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.roster.Near(names)
+	g.roster.SetGroupPeers(names)
 }
 
 // Live returns the peers that were heard lately.
@@ -190,15 +190,15 @@
 	return g.roster.Live(g.Now())
 }
 
-// Answering returns the names of the peers that may be asked.
-func (g *Gossiper) Answering() []string {
+// ReachableNames returns the names of the peers that may be asked.
+func (g *Gossiper) ReachableNames() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Answering(g.Now())
 }
 
-// Find returns those of some peers that may be asked, with what was last heard of them.
-func (g *Gossiper) Find(names []string) []Peer {
+// ReachablePeers returns those of some peers that may be asked, with what was last heard of them.
+func (g *Gossiper) ReachablePeers(names []string) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
@@ -211,9 +211,9 @@
 	return out
 }
 
-// Silent reports whether no datagram has come for so long that this process is cut
+// IsPartitioned reports whether no datagram has come for so long that this process is cut
 // off from its peers, if it has any: several come each half second.
-func (g *Gossiper) Silent() bool {
+func (g *Gossiper) IsPartitioned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.roster.peers) > 0 && g.Now().Sub(g.heard) > quiet
@@ -228,11 +228,11 @@
 		}
 		if err != nil {
 			g.Log.Warn("gossiper: read failed", zap.Error(err))
-			time.Sleep(Period) // an error that stays mustn't keep the process busy
+			time.Sleep(RoundInterval) // an error that stays mustn't keep the process busy
 			continue
 		}
-		if g.Other != nil && n > 0 && !isState(buffer[0]) {
-			g.Other(buffer[:n], from)
+		if g.OnDatagram != nil && n > 0 && !isState(buffer[0]) {
+			g.OnDatagram(buffer[:n], from)
 			continue
 		}
 		s, err := decode(buffer[:n])
@@ -245,12 +245,12 @@
 		}
 		g.mu.Lock()
 		g.heard = g.Now()
-		g.roster.Hear(s, g.heard)
+		g.roster.Receive(s, g.heard)
 		changes := g.roster.Changes()
 		g.mu.Unlock()
 		g.explain(changes)
-		if g.Heard != nil {
-			g.Heard(s)
+		if g.OnState != nil {
+			g.OnState(s)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 		case <-ticker.C:
 			if greeting && time.Since(began) > greetFor {
 				greeting = false
-				ticker.Reset(Period)
+				ticker.Reset(RoundInterval)
 			}
 			g.round(rng)
 		case <-g.news:
@@ -283,8 +283,8 @@
 func (g *Gossiper) pass(rng *rand.Rand) {
 	self := g.Self()
 	g.mu.Lock()
-	targets := g.roster.Next(rng)
-	g.roster.Say(&self)
+	targets := g.roster.Successors(rng)
+	g.roster.FillState(&self)
 	g.mu.Unlock()
 	g.sendTo(self, targets)
 }
@@ -295,12 +295,12 @@
 	dropped := g.roster.Sweep(g.Now())
 	changes := g.roster.Changes()
 	targets := g.roster.Targets(self, rng)
-	g.roster.Say(&self)
+	g.roster.FillState(&self)
 	g.mu.Unlock()
 	g.explain(changes)
-	if g.Dropped != nil {
+	if g.OnForgotten != nil {
 		for _, name := range dropped {
-			g.Dropped(name)
+			g.OnForgotten(name)
 		}
 	}
 	g.sendTo(self, targets)
@@ -313,7 +313,7 @@
 		return
 	}
 	for _, to := range targets {
-		if to == self.Peers {
+		if to == self.GossipAddr {
 			continue
 		}
 		if _, err := g.conn.WriteToUDPAddrPort(b, to); err != nil {
@@ -339,8 +339,8 @@
 
 // encode writes a state. An address that is told once isn't told twice.
 func encode(s State) ([]byte, error) {
-	if s.Carries == s.Peers {
-		s.Carries = netip.AddrPort{}
+	if s.GatewayAddr == s.GossipAddr {
+		s.GatewayAddr = netip.AddrPort{}
 	}
 	return cbor.Marshal(s)
 }
@@ -351,8 +351,8 @@
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return State{}, err
 	}
-	if !s.Carries.IsValid() {
-		s.Carries = s.Peers
+	if !s.GatewayAddr.IsValid() {
+		s.GatewayAddr = s.GossipAddr
 	}
 	return s, nil
 }
--- a/gossiper/harness_test.go
+++ b/gossiper/harness_test.go
@@ -55,7 +55,7 @@
 		at: map[netip.AddrPort]*proc{}, divided: map[uint64]map[string][]string{}, loss: loss,
 	}
 	for i := range max(3, n/10) {
-		f.groups = append(f.groups, assigner.Group{Name: fmt.Sprint("g", i), Most: 10})
+		f.groups = append(f.groups, assigner.Group{Name: fmt.Sprint("g", i), MaxGateways: 10})
 	}
 	for range n {
 		f.machine()
@@ -80,8 +80,8 @@
 	p.start = f.Now.UnixNano()
 	p.groups, p.from = nil, 0
 	p.greets = f.Now.Add(greetFor)
-	p.Join(Member{Name: p.name, Zone: p.zone, Peers: p.addr, Carries: p.addr, Millicores: 192, Start: p.start})
-	f.After(time.Duration(f.rng.Int64N(int64(Period))), func() { f.round(p, run) })
+	p.SetSelf(Member{Name: p.name, Zone: p.zone, GossipAddr: p.addr, GatewayAddr: p.addr, Millicores: 192, Start: p.start})
+	f.After(time.Duration(f.rng.Int64N(int64(RoundInterval))), func() { f.round(p, run) })
 	if !store {
 		return
 	}
@@ -91,14 +91,14 @@
 			return
 		}
 		f.listed = append(f.listed, p)
-		f.After(Together, func() { f.learn(p) })
+		f.After(JoinWindow, func() { f.learn(p) })
 	})
 }
 
 func (f *fleet) learn(p *proc) {
 	p.knows = true
 	for _, o := range f.listed {
-		p.Learn(State{Name: o.name, Zone: o.zone, Peers: o.addr, Carries: o.addr, Millicores: 192, Start: o.start}, f.Now)
+		p.AddListed(State{Name: o.name, Zone: o.zone, GossipAddr: o.addr, GatewayAddr: o.addr, Millicores: 192, Start: o.start}, f.Now)
 	}
 }
 
@@ -126,18 +126,18 @@
 	var near []string
 	for group, names := range carriers {
 		if slices.Contains(names, p.name) {
-			p.groups[group] = GroupState{Carries: true}
+			p.groups[group] = GroupState{IsGateway: true}
 			near = append(near, names...)
 		}
 	}
-	p.Near(slices.DeleteFunc(near, func(name string) bool { return name == p.name }))
+	p.SetGroupPeers(slices.DeleteFunc(near, func(name string) bool { return name == p.name }))
 }
 
 func (f *fleet) round(p *proc, run int) {
 	if !p.up || p.run != run {
 		return
 	}
-	period := Period
+	period := RoundInterval
 	if f.Now.Before(p.greets) {
 		period = greetEvery
 	}
@@ -168,11 +168,11 @@
 }
 
 func (f *fleet) hear(from, to *proc, s State) {
-	to.Hear(s, f.Now)
+	to.Receive(s, f.Now)
 	if s.Configuration > to.config {
 		f.take(to, s.Configuration)
 	}
-	if !to.Lacks(s.Fleet, f.Now) && to.knows || f.cut != nil && f.cut(from, to) {
+	if !to.Lacks(s.FleetDigest, f.Now) && to.knows || f.cut != nil && f.cut(from, to) {
 		return
 	}
 	f.lists++
@@ -189,7 +189,7 @@
 func (f *fleet) take(p *proc, version uint64) {
 	p.config = version
 	f.After(2*delay, func() {
-		for _, to := range p.Next(f.rng) {
+		for _, to := range p.Successors(f.rng) {
 			f.passed++
 			f.send(p, f.at[to], func(to *proc) { f.hear(p, to, f.state(p)) })
 		}
@@ -199,10 +199,10 @@
 // state is what a process says.
 func (f *fleet) state(p *proc) State {
 	s := State{
-		Name: p.name, Zone: p.zone, Start: p.start, Peers: p.addr, Carries: p.addr, Millicores: 192,
+		Name: p.name, Zone: p.zone, Start: p.start, GossipAddr: p.addr, GatewayAddr: p.addr, Millicores: 192,
 		Configuration: p.config, Groups: p.groups,
 	}
-	p.Say(&s)
+	p.FillState(&s)
 	return s
 }
 
--- a/gossiper/list.go
+++ b/gossiper/list.go
@@ -32,7 +32,7 @@
 	}
 	p := r.peers[m.Name]
 	switch {
-	case p == nil && (m.Condition == Gone || !m.Peers.IsValid()):
+	case p == nil && (m.Condition == Gone || !m.GossipAddr.IsValid()):
 		return false // forgotten here, or never known
 	case p == nil:
 		r.add(m, now)
@@ -51,7 +51,7 @@
 	switch {
 	case m.Start > r.self.Start:
 		r.self.Start = m.Start + 1
-	case m.Start < r.self.Start, m.Condition == Present, m.Incarnation < r.self.Incarnation:
+	case m.Start < r.self.Start, m.Condition == Alive, m.Incarnation < r.self.Incarnation:
 		return
 	default:
 		r.self.Incarnation = m.Incarnation + 1
@@ -65,13 +65,13 @@
 	if !m.outweighs(&p.said) {
 		return false
 	}
-	if m.Condition != Present {
+	if m.Condition != Alive {
 		m = m.of(&p.said) // it may be brief
-	} else if p.said.Condition != Present {
+	} else if p.said.Condition != Alive {
 		p.trusted = now.Add(contradicted)
 	}
 	if m.Start > p.Start {
-		p.State, p.Heard = m.state(), time.Time{} // what an earlier run said is void
+		p.State, p.LastSeen = m.state(), time.Time{} // what an earlier run said is void
 	}
 	before := p.said.Condition
 	r.digest ^= p.said.digest() ^ m.digest()
@@ -79,7 +79,7 @@
 	if m.Condition == before {
 		return false
 	}
-	r.changes = append(r.changes, Change{Member: m, Before: before, Heard: p.Heard})
+	r.changes = append(r.changes, Change{Member: m, Before: before, Heard: p.LastSeen})
 	p.changed = now
 	p.expected = time.Time{}
 	r.stale = true
@@ -127,8 +127,8 @@
 	return out
 }
 
-// Say fills in what a process says of the fleet in its next round.
-func (r *Roster) Say(s *State) {
+// FillState fills in what a process says of the fleet in its next round.
+func (r *Roster) FillState(s *State) {
 	s.Start, s.Incarnation = r.self.Start, r.self.Incarnation
-	s.Fleet, s.News = r.digest, r.news.take()
+	s.FleetDigest, s.News = r.digest, r.news.take()
 }
--- a/gossiper/member.go
+++ b/gossiper/member.go
@@ -13,15 +13,15 @@
 // The conditions, in the order in which one outweighs another that was stated of the
 // same moment.
 const (
-	Present Condition = iota
-	Silent            // those whom it sends to each round don't hear it
-	Gone              // silent for so long that nobody reckons with it any more
+	Alive  Condition = iota
+	Silent           // those whom it sends to each round don't hear it
+	Gone             // silent for so long that nobody reckons with it any more
 )
 
 // String returns the condition in lower case.
 func (c Condition) String() string {
 	switch c {
-	case Present:
+	case Alive:
 		return "present"
 	case Silent:
 		return "silent"
@@ -38,11 +38,11 @@
 // which group; two that had different lists would come to different carriers, and
 // shares that were to add up wouldn't.
 type Member struct {
-	Name       string         `cbor:"1,keyasint" json:"name"`
-	Zone       string         `cbor:"2,keyasint,omitempty" json:"zone"`
-	Peers      netip.AddrPort `cbor:"3,keyasint,omitzero" json:"peers"`
-	Carries    netip.AddrPort `cbor:"4,keyasint,omitzero" json:"carries"`
-	Millicores uint16         `cbor:"5,keyasint,omitempty" json:"millicores"`
+	Name        string         `cbor:"1,keyasint" json:"name"`
+	Zone        string         `cbor:"2,keyasint,omitempty" json:"zone"`
+	GossipAddr  netip.AddrPort `cbor:"3,keyasint,omitzero" json:"peers"`
+	GatewayAddr netip.AddrPort `cbor:"4,keyasint,omitzero" json:"carries"`
+	Millicores  uint16         `cbor:"5,keyasint,omitempty" json:"millicores"`
 	// Start and Incarnation say which moment of the process is meant. A process that
 	// starts anew has a greater Start. It raises its Incarnation to contradict a
 	// statement that isn't true any more.
@@ -63,7 +63,7 @@
 
 // brief leaves out what whoever knows the process knows of it anyway.
 func (m *Member) brief() Member {
-	if m.Condition == Present {
+	if m.Condition == Alive {
 		return *m
 	}
 	return Member{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Condition: m.Condition}
@@ -73,7 +73,7 @@
 // that lists agree whether they still remember it or not.
 func (m *Member) digest() uint32 {
 	switch m.Condition {
-	case Present:
+	case Alive:
 		return uint32(xxhash.Sum64String(m.Name))
 	case Silent:
 		return uint32(xxhash.Sum64String("silent " + m.Name))
@@ -85,7 +85,7 @@
 // member returns what a process says of itself as a statement.
 func (s *State) member() Member {
 	return Member{
-		Name: s.Name, Zone: s.Zone, Peers: s.Peers, Carries: s.Carries, Millicores: s.Millicores,
+		Name: s.Name, Zone: s.Zone, GossipAddr: s.GossipAddr, GatewayAddr: s.GatewayAddr, Millicores: s.Millicores,
 		Start: s.Start, Incarnation: s.Incarnation,
 	}
 }
--- a/gossiper/roster.go
+++ b/gossiper/roster.go
@@ -53,15 +53,15 @@
 	return out
 }
 
-// Join sets who this process is. It is called once, before anything is heard.
-func (r *Roster) Join(self Member) {
+// SetSelf sets who this process is. It is called once, before anything is heard.
+func (r *Roster) SetSelf(self Member) {
 	r.self = self
 	r.digest ^= self.digest()
 	r.stale = true
 }
 
-// Learn takes in that a process is in the store's list.
-func (r *Roster) Learn(s State, now time.Time) {
+// AddListed takes in that a process is in the store's list.
+func (r *Roster) AddListed(s State, now time.Time) {
 	if r.peers[s.Name] != nil || s.Name == r.self.Name {
 		return
 	}
@@ -82,14 +82,14 @@
 // state returns what is known of a process that has said nothing itself.
 func (m *Member) state() State {
 	return State{
-		Name: m.Name, Zone: m.Zone, Peers: m.Peers, Carries: m.Carries, Millicores: m.Millicores,
+		Name: m.Name, Zone: m.Zone, GossipAddr: m.GossipAddr, GatewayAddr: m.GatewayAddr, Millicores: m.Millicores,
 		Start: m.Start, Incarnation: m.Incarnation,
 	}
 }
 
-// Hear takes in a datagram. One of an earlier run of the same process changes
+// Receive takes in a datagram. One of an earlier run of the same process changes
 // nothing.
-func (r *Roster) Hear(s State, now time.Time) {
+func (r *Roster) Receive(s State, now time.Time) {
 	m := s.member()
 	p := r.peers[s.Name]
 	switch {
@@ -107,10 +107,10 @@
 	for _, said := range s.News {
 		r.tell(said, now)
 	}
-	r.compare(s.Fleet)
+	r.compare(s.FleetDigest)
 	s.News = nil
-	p.State, p.Heard = s, now
-	if p.said.Condition != Present {
+	p.State, p.LastSeen = s, now
+	if p.said.Condition != Alive {
 		r.accuse(p)
 	}
 }
@@ -118,7 +118,7 @@
 // earlier takes in a datagram of an earlier run, or of one whose clock has gone back. If
 // the later one isn't heard it is told what is said of it, and raises its Start.
 func (r *Roster) earlier(p *record, now time.Time) {
-	if now.Sub(p.Heard) >= silence {
+	if now.Sub(p.LastSeen) >= silence {
 		r.accuse(p)
 	}
 }
@@ -156,7 +156,7 @@
 	r.turn()
 	var out []Peer
 	for _, p := range r.order {
-		if now.Sub(p.Heard) < silence {
+		if now.Sub(p.LastSeen) < silence {
 			out = append(out, p.Peer)
 		}
 	}
@@ -174,11 +174,11 @@
 }
 
 func (p *record) answers(now time.Time) bool {
-	if now.Sub(p.Heard) < silence {
+	if now.Sub(p.LastSeen) < silence {
 		return true
 	}
-	missed := !p.expected.IsZero() && now.Sub(later(p.Heard, p.expected)) >= accusable
-	return p.said.Condition == Present && !missed
+	missed := !p.expected.IsZero() && now.Sub(later(p.LastSeen, p.expected)) >= accusable
+	return p.said.Condition == Alive && !missed
 }
 
 // Answering returns the names of those that may be asked.
--- a/gossiper/roster_test.go
+++ b/gossiper/roster_test.go
@@ -20,7 +20,7 @@
 
 // sweep plays rounds of a process that hears nothing more, until a moment.
 func sweep(r *Roster, from, to time.Time) (dropped []string) {
-	for now := from; !now.After(to); now = now.Add(Period) {
+	for now := from; !now.After(to); now = now.Add(RoundInterval) {
 		dropped = append(dropped, r.Sweep(now)...)
 	}
 	return dropped
@@ -30,16 +30,16 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	r.Learn(State{Name: "a", Zone: "z", Peers: at(1)}, now)
+	r.AddListed(State{Name: "a", Zone: "z", GossipAddr: at(1)}, now)
 	is.Equal(len(r.Live(now)), 0) // listed, never heard
-	r.Hear(State{Name: "a", Start: 5}, now)
+	r.Receive(State{Name: "a", Start: 5}, now)
 	is.Equal(len(r.Live(now.Add(time.Second))), 1)
 	is.Equal(len(r.Live(now.Add(3*time.Second))), 0)
 	sweep(&r, now, now.Add(first))
 	now = now.Add(first)
 	is.Equal(len(r.Answering(now)), 0)
 	is.Equal(len(r.Fleet()), 1) // it may still hold connections
-	is.Equal(sweep(&r, now.Add(Period), now.Add(memory+forget+2*time.Second)), []string{"a"})
+	is.Equal(sweep(&r, now.Add(RoundInterval), now.Add(memory+forget+2*time.Second)), []string{"a"})
 	is.Equal(len(r.Fleet()), 0)
 }
 
@@ -51,20 +51,20 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	r.Learn(State{Name: "gone", Zone: "z", Peers: at(1)}, now)
-	for i := range 2 * int((silence+memory)/Period) {
-		at := now.Add(time.Duration(i) * Period)
-		r.Hear(State{Name: "lives"}, at)
+	r.AddListed(State{Name: "gone", Zone: "z", GossipAddr: at(1)}, now)
+	for i := range 2 * int((silence+memory)/RoundInterval) {
+		at := now.Add(time.Duration(i) * RoundInterval)
+		r.Receive(State{Name: "lives"}, at)
 		if at.Sub(now) < memory {
-			r.Hear(State{Name: "leaves"}, at)
+			r.Receive(State{Name: "leaves"}, at)
 		}
 		r.Sweep(at)
 		switch since := at.Sub(now); {
 		case since < introduction:
 			is.Equal(len(r.Fleet()), 3) // it may just be cut off
-		case since > introduction+Period && since < memory:
+		case since > introduction+RoundInterval && since < memory:
 			is.Equal(len(r.Fleet()), 2) // it was never heard
-		case since > 2*memory+silence+Period:
+		case since > 2*memory+silence+RoundInterval:
 			is.Equal(len(r.Fleet()), 1)
 			is.Equal(r.Fleet()[0].Name, "lives")
 		}
@@ -78,8 +78,8 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	r.Hear(State{Name: "a", Start: 9, Configuration: 4}, now)
-	r.Hear(State{Name: "a", Start: 5, Configuration: 1}, now)
+	r.Receive(State{Name: "a", Start: 9, Configuration: 4}, now)
+	r.Receive(State{Name: "a", Start: 5, Configuration: 1}, now)
 	is.Equal(r.Live(now)[0].Configuration, uint64(4))
 }
 
@@ -90,7 +90,7 @@
 	var r Roster
 	now := time.Unix(1000, 0)
 	for i := range 300 {
-		r.Hear(State{Name: fmt.Sprint(i), Peers: at(i)}, now)
+		r.Receive(State{Name: fmt.Sprint(i), GossipAddr: at(i)}, now)
 	}
 	is.True(len(r.Targets(State{}, rand.New(rand.NewPCG(1, 2)))) <= rings+strangers)
 	is.Equal(len(r.Answering(now.Add(20*time.Second))), 300) // and nobody needs to be heard to be asked
@@ -103,13 +103,13 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	carries := map[string]GroupState{"g": {Carries: true}}
+	carries := map[string]GroupState{"g": {IsGateway: true}}
 	for i := range 70 {
-		s := State{Name: fmt.Sprint(i), Peers: at(i)}
+		s := State{Name: fmt.Sprint(i), GossipAddr: at(i)}
 		if i < 5 {
 			s.Groups = carries
 		}
-		r.Hear(s, now)
+		r.Receive(s, now)
 	}
 	targets := r.Targets(State{Groups: carries}, rand.New(rand.NewPCG(1, 2)))
 	is.True(len(targets) <= 5+rings+strangers)
@@ -125,13 +125,13 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := &Gossiper{Now: func() time.Time { return now }}
-	is.True(!g.Silent()) // it has no peers
-	g.Learn(State{Name: "a", Zone: "z", Peers: at(1)})
+	is.True(!g.IsPartitioned()) // it has no peers
+	g.AddListed(State{Name: "a", Zone: "z", GossipAddr: at(1)})
 	g.heard = now
-	now = now.Add(Period)
-	is.True(!g.Silent())
-	now = now.Add(Period)
-	is.True(g.Silent())
+	now = now.Add(RoundInterval)
+	is.True(!g.IsPartitioned())
+	now = now.Add(RoundInterval)
+	is.True(g.IsPartitioned())
 }
 
 // Symptom: a leader is replaced a second late in a large fleet. Sequence: all who carry
@@ -142,11 +142,11 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	carries := map[string]GroupState{"g": {Carries: true}}
+	carries := map[string]GroupState{"g": {IsGateway: true}}
 	for i := range 30 {
-		r.Hear(State{Name: fmt.Sprint("p", i), Peers: at(i), Groups: carries}, now)
+		r.Receive(State{Name: fmt.Sprint("p", i), GossipAddr: at(i), Groups: carries}, now)
 	}
-	r.Hear(State{Name: "holder", Peers: at(99), Groups: map[string]GroupState{"g": {Carries: true, Token: 2}}}, now)
+	r.Receive(State{Name: "holder", GossipAddr: at(99), Groups: map[string]GroupState{"g": {IsGateway: true, Token: 2}}}, now)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		is.True(slices.Contains(r.Targets(State{Groups: carries}, rng), at(99)))
@@ -160,13 +160,13 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	self := State{Groups: map[string]GroupState{"held": {Carries: true, Token: 3}, "other": {Carries: true}}}
+	self := State{Groups: map[string]GroupState{"held": {IsGateway: true, Token: 3}, "other": {IsGateway: true}}}
 	for i := range 36 {
-		s := State{Name: fmt.Sprint("p", i), Peers: at(i), Groups: map[string]GroupState{"other": {Carries: true}}}
+		s := State{Name: fmt.Sprint("p", i), GossipAddr: at(i), Groups: map[string]GroupState{"other": {IsGateway: true}}}
 		if i < 6 {
-			s.Groups = map[string]GroupState{"held": {Carries: true}}
+			s.Groups = map[string]GroupState{"held": {IsGateway: true}}
 		}
-		r.Hear(s, now)
+		r.Receive(s, now)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
@@ -186,15 +186,15 @@
 	is := is.New(t)
 	var r Roster
 	now := time.Unix(1000, 0)
-	r.Join(Member{Name: "self", Start: 1})
-	r.Hear(State{Name: "a", Zone: "z", Start: 5, Peers: at(1), Carries: at(2), Millicores: 192}, now)
+	r.SetSelf(Member{Name: "self", Start: 1})
+	r.Receive(State{Name: "a", Zone: "z", Start: 5, GossipAddr: at(1), GatewayAddr: at(2), Millicores: 192}, now)
 	r.Take([]Member{{Name: "a", Start: 6, Condition: Silent}}, now)
-	is.Equal(r.Fleet()[0].Peers, at(1))
-	r.Take([]Member{{Name: "a", Zone: "z", Peers: at(1), Carries: at(2), Millicores: 192, Start: 6, Incarnation: 1}}, now)
+	is.Equal(r.Fleet()[0].GossipAddr, at(1))
+	r.Take([]Member{{Name: "a", Zone: "z", GossipAddr: at(1), GatewayAddr: at(2), Millicores: 192, Start: 6, Incarnation: 1}}, now)
 	p, answers := r.Answers("a", now)
 	is.True(answers)
-	is.Equal(p.Peers, at(1))
-	is.Equal(p.Carries, at(2))
+	is.Equal(p.GossipAddr, at(1))
+	is.Equal(p.GatewayAddr, at(2))
 	is.Equal(r.Targets(State{}, rand.New(rand.NewPCG(1, 2))), []netip.AddrPort{at(1)})
 }
 
@@ -212,7 +212,7 @@
 		now = now.Add(time.Millisecond)
 	}
 	g.drop(errors.New("later"))
-	is.Equal(g.Unread(), int64(1001))
+	is.Equal(g.DecodeErrors(), int64(1001))
 	is.Equal(logs.Len(), 2)
 }
 
@@ -222,10 +222,10 @@
 	core, logs := observer.New(zap.InfoLevel)
 	now := time.Unix(1000, 0)
 	g := &Gossiper{Now: func() time.Time { return now }, Log: zap.New(core)}
-	g.Learn(State{Name: "a", Start: 7, Peers: at(1)})
-	g.Take([]Member{{Name: "a", Start: 7, Condition: Silent}})
-	g.Take([]Member{{Name: "a", Start: 7, Condition: Silent}}) // nothing new
-	g.Take([]Member{{Name: "a", Start: 7, Incarnation: 1}})
+	g.AddListed(State{Name: "a", Start: 7, GossipAddr: at(1)})
+	g.Merge([]Member{{Name: "a", Start: 7, Condition: Silent}})
+	g.Merge([]Member{{Name: "a", Start: 7, Condition: Silent}}) // nothing new
+	g.Merge([]Member{{Name: "a", Start: 7, Incarnation: 1}})
 	is.Equal(logs.Len(), 2)
 	is.Equal(logs.All()[0].Message, "gossiper: process is silent")
 	is.Equal(logs.All()[0].ContextMap()["process"], "a")
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -10,16 +10,16 @@
 
 // Times and bounds of the roster.
 const (
-	// Period is the time between two rounds of datagrams.
+	// RoundInterval is the time between two rounds of datagrams.
 	//
 	// News is sent at once, so the period only bounds how late a death is noticed.
 	// The bytes between zones, which are paid for, fall with it.
-	Period = 500 * time.Millisecond
+	RoundInterval = 500 * time.Millisecond
 	// few is the size of a fleet in which each process sends to all others.
 	few = 12
-	// Nearest bounds how many of those that carry for the same groups get a datagram
+	// MaxGroupPeers bounds how many of those that carry for the same groups get a datagram
 	// each round, those of groups that the sender has the duty for first.
-	Nearest = 48
+	MaxGroupPeers = 48
 	// strangers is how many get one that are neither near nor next on a circle. What
 	// is said of anybody, and what is new anywhere, passes from group to group by them.
 	strangers = 2
@@ -27,16 +27,16 @@
 	// heard counts as silent. Some of ten datagrams get lost; all never do.
 	patience = 4
 	// silence is how long one that should be heard each round may be silent.
-	silence = patience * Period
+	silence = patience * RoundInterval
 	// accusable is how long before the fleet is told. With a tenth of the datagrams lost
 	// one of the four that hear a process is wrong once in 250,000 rounds.
-	accusable = silence + 2*Period
+	accusable = silence + 2*RoundInterval
 	// quiet is how long nobody may be heard before this process counts as cut off from
 	// all. Four datagrams come each half second at least.
-	quiet = 3 * Period / 2
+	quiet = 3 * RoundInterval / 2
 	// first is how long one that is listed may take to be heard for the first time by
 	// those whom it should send to: they may not agree yet on who these are.
-	first = 8 * Period
+	first = 8 * RoundInterval
 	// memory is how long a silent process still counts as one of the fleet, which may
 	// hold connections and comes back. One that is cut off from the others keeps its own.
 	memory = 30 * time.Second
@@ -58,37 +58,37 @@
 	// is to be told on to be known to all.
 	consensus = 8
 	// compareEvery is the time between two such questions of one process.
-	compareEvery = 4 * Period
+	compareEvery = 4 * RoundInterval
 )
 
-// Trouble says what is wrong with a group's leader, seen from one process.
-type Trouble uint8
+// LeaderFault says what is wrong with a group's leader, seen from one process.
+type LeaderFault uint8
 
 // The troubles.
 const (
-	NoTrouble   Trouble = iota
-	Unreachable         // it doesn't answer
-	Stuck               // it answers, but commits aren't acknowledged
-	Failing             // it answers, and fails much of what it is asked
-	Blind               // it doesn't answer, and nobody does who could lead next
+	NoFault       LeaderFault = iota
+	Unreachable               // it doesn't answer
+	CommitStalled             // it answers, but commits aren't acknowledged
+	Failing                   // it answers, and fails much of what it is asked
+	Isolated                  // it doesn't answer, and nobody does who could lead next
 )
 
-// Reaches reports whether who sees the trouble can have statements run by the leader.
-func (t Trouble) Reaches() bool { return t == NoTrouble || t == Failing }
+// IsLeaderReachable reports whether who sees the trouble can have statements run by the leader.
+func (t LeaderFault) IsLeaderReachable() bool { return t == NoFault || t == Failing }
 
 // GroupState is what one process says of a database group.
 type GroupState struct {
-	Leader  string  `cbor:"1,keyasint,omitempty"`
-	Trouble Trouble `cbor:"2,keyasint,omitempty"`
-	// Carries says that the sender has connections to the group's upstreams.
-	Carries bool `cbor:"3,keyasint,omitempty"`
+	Leader      string      `cbor:"1,keyasint,omitempty"`
+	LeaderFault LeaderFault `cbor:"2,keyasint,omitempty"`
+	// IsGateway says that the sender has connections to the group's upstreams.
+	IsGateway bool `cbor:"3,keyasint,omitempty"`
 	// Token is that of the sender's duty for the group; zero when it has none.
 	Token uint64 `cbor:"4,keyasint,omitempty"`
-	// Fenced is the upstream that the sender, as holder, is replacing and has
+	// FencedLeader is the upstream that the sender, as holder, is replacing and has
 	// halted the replicas of, and FenceTerm the term for which. Peers that reach
 	// that upstream take the lead from it.
-	Fenced    string       `cbor:"5,keyasint,omitempty"`
-	FenceTerm tracker.Term `cbor:"6,keyasint,omitzero"`
+	FencedLeader string       `cbor:"5,keyasint,omitempty"`
+	FenceTerm    tracker.Term `cbor:"6,keyasint,omitzero"`
 }
 
 // State is what one process says of itself.
@@ -96,39 +96,39 @@
 	Name  string `cbor:"1,keyasint"`
 	Zone  string `cbor:"2,keyasint"`
 	Start int64  `cbor:"3,keyasint"` // tells runs of one name apart; later ones are greater
-	// Peers, Carries and Operators are its addresses: for datagrams, for statements
+	// GossipAddr, Carries and Operators are its addresses: for datagrams, for statements
 	// that it carries for others, and for HTTP.
-	Peers     netip.AddrPort `cbor:"4,keyasint"`
-	Carries   netip.AddrPort `cbor:"5,keyasint,omitzero"`
-	Operators netip.AddrPort `cbor:"6,keyasint"`
+	GossipAddr    netip.AddrPort `cbor:"4,keyasint"`
+	GatewayAddr   netip.AddrPort `cbor:"5,keyasint,omitzero"`
+	OperatorsAddr netip.AddrPort `cbor:"6,keyasint"`
 	// Configuration is the version in force there.
 	Configuration uint64 `cbor:"7,keyasint"`
-	// Complete is the version up to which the entries of upstreams are all known
+	// CatalogComplete is the version up to which the entries of upstreams are all known
 	// there, and Digest a hash of them. Who has another digest, and is complete up to
 	// less, asks the sender.
-	Complete versioner.Version `cbor:"17,keyasint,omitzero"`
-	Digest   uint64            `cbor:"12,keyasint"`
+	CatalogComplete versioner.Version `cbor:"17,keyasint,omitzero"`
+	CatalogDigest   uint64            `cbor:"12,keyasint"`
 	// Millicores is its processor in thousandths of a core.
 	Millicores uint16 `cbor:"13,keyasint,omitempty"`
-	// Checked says for each kind of the store's objects that is read as a whole, in an
+	// StoreReadAges says for each kind of the store's objects that is read as a whole, in an
 	// order that all know, how long ago some process read it, as far as the sender knows,
 	// as of sending.
-	Checked []time.Duration `cbor:"9,keyasint,omitempty"`
-	Leaving bool            `cbor:"10,keyasint,omitempty"`
+	StoreReadAges []time.Duration `cbor:"9,keyasint,omitempty"`
+	Leaving       bool            `cbor:"10,keyasint,omitempty"`
 	// Groups are those that the sender carries for, or has the duty for.
 	Groups map[string]GroupState `cbor:"11,keyasint,omitempty"`
 	// Incarnation is raised by the sender to contradict who says that it is silent.
 	Incarnation uint32 `cbor:"14,keyasint,omitempty"`
-	// Fleet is a hash of the sender's list of the fleet, and News what it has learned
+	// FleetDigest is a hash of the sender's list of the fleet, and News what it has learned
 	// lately about processes of it.
-	Fleet uint32   `cbor:"15,keyasint,omitempty"`
-	News  []Member `cbor:"16,keyasint,omitempty"`
+	FleetDigest uint32   `cbor:"15,keyasint,omitempty"`
+	News        []Member `cbor:"16,keyasint,omitempty"`
 }
 
 // Peer is another process and when it was last heard.
 type Peer struct {
 	State
-	Heard time.Time
+	LastSeen time.Time
 	// Listed is when it was first heard of.
 	Listed time.Time
 }
--- a/gossiper/state_test.go
+++ b/gossiper/state_test.go
@@ -15,14 +15,14 @@
 func full(groups int) State {
 	s := State{
 		Name: "front-vejle-hal-1", Zone: "vejle-hal", Start: 1785262487014000000,
-		Peers: netip.MustParseAddrPort("10.1.0.8:7440"), Carries: netip.MustParseAddrPort("10.1.0.8:7440"), Operators: netip.MustParseAddrPort("10.1.0.8:7455"),
-		Configuration: 18, Complete: versioner.Version{Era: 2, Revision: 1207}, Digest: 0x9e3779b97f4a7c15, Fleet: 0x9e3779b9, Millicores: 192, Checked: []time.Duration{300 * time.Millisecond, 900 * time.Millisecond},
+		GossipAddr: netip.MustParseAddrPort("10.1.0.8:7440"), GatewayAddr: netip.MustParseAddrPort("10.1.0.8:7440"), OperatorsAddr: netip.MustParseAddrPort("10.1.0.8:7455"),
+		Configuration: 18, CatalogComplete: versioner.Version{Era: 2, Revision: 1207}, CatalogDigest: 0x9e3779b97f4a7c15, FleetDigest: 0x9e3779b9, Millicores: 192, StoreReadAges: []time.Duration{300 * time.Millisecond, 900 * time.Millisecond},
 	}
 	if groups > 0 {
 		s.Groups = map[string]GroupState{}
 	}
 	for i := range groups {
-		s.Groups[fmt.Sprint("nyka33", i)] = GroupState{Leader: "i-6c9b6ab970", Carries: true, Token: uint64(i)}
+		s.Groups[fmt.Sprint("nyka33", i)] = GroupState{Leader: "i-6c9b6ab970", IsGateway: true, Token: uint64(i)}
 	}
 	return s
 }
@@ -31,14 +31,14 @@
 func TestStatesComeThrough(t *testing.T) {
 	is := is.New(t)
 	said := full(3)
-	said.Groups["nyka330"] = GroupState{Leader: "i-1", Trouble: Stuck, Token: 7, Fenced: "i-1", FenceTerm: tracker.Term{}}
+	said.Groups["nyka330"] = GroupState{Leader: "i-1", LeaderFault: CommitStalled, Token: 7, FencedLeader: "i-1", FenceTerm: tracker.Term{}}
 	said.News = []Member{said.member(), {Name: "front-vejle-hal-2", Start: 7, Incarnation: 2, Condition: Silent}}
 	b, err := encode(said)
 	is.NoErr(err)
 	heard, err := decode(b)
 	is.NoErr(err)
 	is.Equal(heard, said)
-	said.Carries = netip.MustParseAddrPort("10.1.0.8:7441")
+	said.GatewayAddr = netip.MustParseAddrPort("10.1.0.8:7441")
 	b, err = encode(said)
 	is.NoErr(err)
 	heard, err = decode(b)
--- a/gossiper/targets.go
+++ b/gossiper/targets.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Near sets who carries for the same groups as this process. They are told each round,
+// SetGroupPeers sets who carries for the same groups as this process. They are told each round,
 // also before they were ever heard.
-func (r *Roster) Near(names []string) {
+func (r *Roster) SetGroupPeers(names []string) {
 	r.near = make(map[string]bool, len(names))
 	for _, name := range names {
 		r.near[name] = true
@@ -27,14 +27,14 @@
 	var holders, charges, near []netip.AddrPort
 	all := len(r.peers) <= few
 	for _, p := range r.order {
-		lately := r.swept.Sub(p.Heard) < silence // what it said before needn't hold any more
+		lately := r.swept.Sub(p.LastSeen) < silence // what it said before needn't hold any more
 		switch {
-		case lately && Charge(p.State, self):
-			holders = append(holders, p.Peers)
-		case lately && Charge(self, p.State):
-			charges = append(charges, p.Peers)
+		case lately && HoldsLeaseFor(p.State, self):
+			holders = append(holders, p.GossipAddr)
+		case lately && HoldsLeaseFor(self, p.State):
+			charges = append(charges, p.GossipAddr)
 		case all || r.near[p.Name] || r.accused[p.Name] || lately && together(self, p.State):
-			near = append(near, p.Peers)
+			near = append(near, p.GossipAddr)
 		}
 	}
 	clear(r.accused)
@@ -46,19 +46,19 @@
 	if all {
 		return near
 	}
-	return r.others(near[:min(len(near), Nearest)], rng)
+	return r.others(near[:min(len(near), MaxGroupPeers)], rng)
 }
 
-// Next returns whom to pass on to what is new of the store: the next on the circles, all
+// Successors returns whom to pass on to what is new of the store: the next on the circles, all
 // peers while they are few.
-func (r *Roster) Next(rng *rand.Rand) []netip.AddrPort {
+func (r *Roster) Successors(rng *rand.Rand) []netip.AddrPort {
 	if len(r.peers) <= few {
 		return r.Targets(State{}, rng)
 	}
 	r.turn()
 	out := make([]netip.AddrPort, 0, rings)
 	for _, name := range r.after {
-		out = append(out, r.peers[name].Peers)
+		out = append(out, r.peers[name].GossipAddr)
 	}
 	return out
 }
@@ -66,8 +66,8 @@
 // others adds the next on the circles, and some drawn at random.
 func (r *Roster) others(targets []netip.AddrPort, rng *rand.Rand) []netip.AddrPort {
 	add := func(p *record) {
-		if p != nil && !slices.Contains(targets, p.Peers) {
-			targets = append(targets, p.Peers)
+		if p != nil && !slices.Contains(targets, p.GossipAddr) {
+			targets = append(targets, p.GossipAddr)
 		}
 	}
 	for _, name := range r.after {
@@ -79,13 +79,13 @@
 	return targets
 }
 
-// Charge reports whether a peer carries for a group that the holder has the duty for.
-func Charge(holder, peer State) bool {
+// HoldsLeaseFor reports whether a peer carries for a group that the holder has the duty for.
+func HoldsLeaseFor(holder, peer State) bool {
 	if len(peer.Groups) == 0 {
 		return false
 	}
 	for name, state := range holder.Groups {
-		if state.Token > 0 && peer.Groups[name].Carries {
+		if state.Token > 0 && peer.Groups[name].IsGateway {
 			return true
 		}
 	}
@@ -98,7 +98,7 @@
 		return false
 	}
 	for name, state := range a.Groups {
-		if state.Carries && b.Groups[name].Carries {
+		if state.IsGateway && b.Groups[name].IsGateway {
 			return true
 		}
 	}
--- a/gossiper/watch.go
+++ b/gossiper/watch.go
@@ -20,7 +20,7 @@
 			p.expected = time.Time{}
 		}
 		r.watch(p, now)
-		if p.said.Condition == Gone && now.Sub(p.changed) > forget && now.Sub(p.Heard) > forget {
+		if p.said.Condition == Gone && now.Sub(p.changed) > forget && now.Sub(p.LastSeen) > forget {
 			dropped = append(dropped, p.Name)
 		}
 	}
@@ -65,16 +65,16 @@
 		p.expected = now
 	}
 	limit := first
-	if p.Heard.After(p.expected) {
+	if p.LastSeen.After(p.expected) {
 		limit = accusable
 	}
-	missing := !p.expected.IsZero() && now.Sub(later(p.Heard, p.expected)) >= limit
+	missing := !p.expected.IsZero() && now.Sub(later(p.LastSeen, p.expected)) >= limit
 	switch {
-	case p.said.Condition == Present && missing && now.After(p.trusted):
+	case p.said.Condition == Alive && missing && now.After(p.trusted):
 		r.declare(p, Silent, now)
-	case p.said.Condition == Silent && now.Sub(later(p.changed, p.Heard)) > memory:
+	case p.said.Condition == Silent && now.Sub(later(p.changed, p.LastSeen)) > memory:
 		r.declare(p, Gone, now)
-	case p.said.Condition == Silent && !p.expected.IsZero() && p.Heard.IsZero() && now.Sub(p.Listed) > introduction:
+	case p.said.Condition == Silent && !p.expected.IsZero() && p.LastSeen.IsZero() && now.Sub(p.Listed) > introduction:
 		r.declare(p, Gone, now)
 	}
 }
--- a/internal/comparer/breakers.go
+++ b/internal/comparer/breakers.go
@@ -118,7 +118,7 @@
 		return -1
 	}
 	a, b := ready[g.rng.IntN(len(ready))], ready[g.rng.IntN(len(ready))]
-	if g.queues[p][b].Wait(g.clock.Now) < g.queues[p][a].Wait(g.clock.Now) {
+	if g.queues[p][b].ExpectedWait(g.clock.Now) < g.queues[p][a].ExpectedWait(g.clock.Now) {
 		return b
 	}
 	return a
@@ -135,7 +135,7 @@
 	}
 	t, refusal := g.queues[p][u].Offer(g.clock.Now, limiter.Item{Class: a.class(), Deadline: a.arrival.Deadline})
 	if t == 0 {
-		g.ended(a, u, retrier.Outcome{Kind: retrier.NotRun, Cause: refusal.Cause, Back: refusal.Back})
+		g.ended(a, u, retrier.Outcome{Kind: retrier.NotRun, Cause: refusal.Cause, Back: refusal.RetryAt})
 	} else {
 		g.waiting[ticket{p, u, t}] = a
 	}
@@ -151,7 +151,7 @@
 		if e.Granted {
 			g.send(a, t)
 		} else {
-			g.ended(a, u, retrier.Outcome{Kind: retrier.NotRun, Cause: e.Cause, Back: e.Back})
+			g.ended(a, u, retrier.Outcome{Kind: retrier.NotRun, Cause: e.Cause, Back: e.RetryAt})
 		}
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 func (g *group) expected(a *attempt, t ticket) time.Duration {
-	return g.queues[t.proxy][t.upstream].Expected(a.class())
+	return g.queues[t.proxy][t.upstream].MeanServiceTime(a.class())
 }
 
 func (g *group) send(a *attempt, t ticket) {
--- a/internal/comparer/report.go
+++ b/internal/comparer/report.go
@@ -30,8 +30,8 @@
 	return []queueing{
 		{"fifo, 4 connections", fifo(4, false)},
 		{"fifo, drops the late", fifo(4, true)},
-		{"queue, fixed 1", queued(limiter.Window{Most: 1, Fixed: true})},
-		{"queue, fixed 4", queued(limiter.Window{Most: 4, Fixed: true})},
+		{"queue, fixed 1", queued(limiter.Window{Max: 1, Fixed: true})},
+		{"queue, fixed 4", queued(limiter.Window{Max: 4, Fixed: true})},
 		{"queue, adaptive", queued(limiter.Window{})},
 	}
 }
--- a/internal/comparer/storm.go
+++ b/internal/comparer/storm.go
@@ -49,7 +49,7 @@
 func (p *stormProxy) open() {
 	p.server.Serve(stormOpening, func() {
 		p.opened++
-		p.queue.Window = limiter.Window{Most: p.opened, Fixed: true}
+		p.queue.Window = limiter.Window{Max: p.opened, Fixed: true}
 		p.pump()
 	})
 }
@@ -80,7 +80,7 @@
 	var ps [proxies]*stormProxy
 	for i := range ps {
 		p := &stormProxy{clock: c, server: s, waiting: make(map[limiter.Ticket]modeler.Arrival), tally: &t}
-		p.queue.Window = limiter.Window{Most: stormConnections, Fixed: true}
+		p.queue.Window = limiter.Window{Max: stormConnections, Fixed: true}
 		ps[i] = p
 		var pacer limiter.Pacer
 		if o.pacer != nil {
--- a/leaver/event.go
+++ b/leaver/event.go
@@ -42,8 +42,8 @@
 	Transaction bool // it waits for its caller inside a transaction
 }
 
-// Load is the answer to the Count of the same number.
-type Load struct {
+// SessionCounts is the answer to the Count of the same number.
+type SessionCounts struct {
 	Number   int
 	Idle     int // sessions between two requests
 	Busy     []Session
@@ -51,19 +51,19 @@
 	Finished int // requests finished since Begin
 }
 
-// Returned is the outcome of ReturnShares.
-type Returned struct{ OK bool }
+// SharesReturned is the outcome of ReturnShares.
+type SharesReturned struct{ OK bool }
 
 // Tick says that time has passed.
 type Tick struct{}
 
-func (Begin) event()      {}
-func (Announced) event()  {}
-func (Listed) event()     {}
-func (HandedOver) event() {}
-func (Load) event()       {}
-func (Returned) event()   {}
-func (Tick) event()       {}
+func (Begin) event()          {}
+func (Announced) event()      {}
+func (Listed) event()         {}
+func (HandedOver) event()     {}
+func (SessionCounts) event()  {}
+func (SharesReturned) event() {}
+func (Tick) event()           {}
 
 // Command is something that the owner of a Process has to do.
 type Command interface{ command() }
@@ -80,8 +80,8 @@
 // HandedOver.
 type HandOver struct{ Group string }
 
-// Count asks for a Load of what is true after it was asked for.
-type Count struct{ Number int }
+// CountSessions asks for a Load of what is true after it was asked for.
+type CountSessions struct{ Number int }
 
 // CloseListener ends the taking of new callers.
 type CloseListener struct{}
@@ -102,7 +102,7 @@
 func (AnnouncePeers) command()    {}
 func (AnnouncePlatform) command() {}
 func (HandOver) command()         {}
-func (Count) command()            {}
+func (CountSessions) command()    {}
 func (CloseListener) command()    {}
 func (EndIdle) command()          {}
 func (ReturnShares) command()     {}
@@ -110,18 +110,18 @@
 
 // Summary tells how a stop went.
 type Summary struct {
-	Cause    Cause
-	Began    time.Time
-	Ended    time.Time
-	Reason   Reason
-	Sessions int       // ended between two requests
-	Finished int       // requests finished during the stop
-	Groups   []string  // handed over
-	Kept     []string  // groups that nobody took; their leases run out
-	Cut      []Session // ended within a request or transaction
-	Idle     int       // idle sessions that were ended all at once at the end
-	Unsaid   bool      // the platform couldn't be told
-	Shares   bool      // the shares were given back
+	Cause       Cause
+	Began       time.Time
+	Ended       time.Time
+	Reason      Reason
+	Sessions    int       // ended between two requests
+	Finished    int       // requests finished during the stop
+	Groups      []string  // handed over
+	Kept        []string  // groups that nobody took; their leases run out
+	Interrupted []Session // ended within a request or transaction
+	Idle        int       // idle sessions that were ended all at once at the end
+	Unsaid      bool      // the platform couldn't be told
+	Shares      bool      // the shares were given back
 }
 
 // Reason says what ended the process.
@@ -129,7 +129,7 @@
 
 // The reasons for the end of a stop.
 const (
-	Done     Reason = "all work done"
-	Deadline Reason = "deadline"
-	Again    Reason = "second signal"
+	Done         Reason = "all work done"
+	Deadline     Reason = "deadline"
+	SecondSignal Reason = "second signal"
 )
--- a/leaver/process.go
+++ b/leaver/process.go
@@ -8,10 +8,10 @@
 
 // The defaults of Process.
 const (
-	DefaultLimit  = 60 * time.Second
-	DefaultLag    = 10 * time.Second
-	DefaultSettle = 2 * time.Second
-	DefaultSpread = 5 * time.Second
+	DefaultStopTimeout       = 60 * time.Second
+	DefaultMaxListAge        = 10 * time.Second
+	DefaultBalancerDelay     = 2 * time.Second
+	DefaultIdleDrainDuration = 5 * time.Second
 )
 
 const (
@@ -23,10 +23,10 @@
 // Process is the stop of this process. Its zero value is one that serves. It is
 // not safe for concurrent use.
 type Process struct {
-	Limit  time.Duration // from Begin to the end, whatever is left
-	Lag    time.Duration // the platform's list may be this old
-	Settle time.Duration // from the list saying so to the balancer knowing it
-	Spread time.Duration // idle sessions are ended over this time
+	StopTimeout       time.Duration // from Begin to the end, whatever is left
+	MaxListAge        time.Duration // the platform's list may be this old
+	BalancerDelay     time.Duration // from the list saying so to the balancer knowing it
+	IdleDrainDuration time.Duration // idle sessions are ended over this time
 
 	phase    phase
 	deadline time.Time // of the whole stop
@@ -36,7 +36,7 @@
 	announce time.Time // when the platform is told again; zero if it knows
 	returned time.Time // when the wait for Returned ends
 	groups   map[string]time.Time
-	load     Load
+	load     SessionCounts
 	number   int // of the last Count
 	proof    int // number of the first Count after the listener was closed
 	summary  Summary
@@ -102,12 +102,12 @@
 		p.listed(ev, now)
 	case HandedOver:
 		p.handedOver(ev, now)
-	case Load:
+	case SessionCounts:
 		if ev.Number > p.load.Number {
 			p.load = ev
 			p.endIdle(now)
 		}
-	case Returned:
+	case SharesReturned:
 		p.summary.Shares = ev.OK
 		if p.phase == returning {
 			p.exit(now, Done)
@@ -120,13 +120,13 @@
 		// An operator's drain and the platform's list often come together;
 		// only a signal after the first one means that nobody wants to wait.
 		if b.Cause == Signal && p.phase != ended {
-			p.exit(now, Again)
+			p.exit(now, SecondSignal)
 		}
 		return
 	}
 	p.phase = lagging
-	p.deadline = now.Add(cmp.Or(p.Limit, DefaultLimit))
-	p.quiet = now.Add(cmp.Or(p.Lag, DefaultLag))
+	p.deadline = now.Add(cmp.Or(p.StopTimeout, DefaultStopTimeout))
+	p.quiet = now.Add(cmp.Or(p.MaxListAge, DefaultMaxListAge))
 	p.count, p.announce = now, now
 	p.summary = Summary{Cause: b.Cause, Began: now, Unsaid: true}
 	p.groups = make(map[string]time.Time, len(b.Groups))
@@ -153,7 +153,7 @@
 		return
 	}
 	p.summary.Unsaid, p.announce = false, time.Time{}
-	if settled := now.Add(cmp.Or(p.Settle, DefaultSettle)); settled.Before(p.quiet) {
+	if settled := now.Add(cmp.Or(p.BalancerDelay, DefaultBalancerDelay)); settled.Before(p.quiet) {
 		p.quiet = settled
 	}
 }
@@ -181,7 +181,7 @@
 	case lagging:
 		if !now.Before(p.quiet) {
 			p.phase, p.quiet = draining, time.Time{}
-			p.spread = now.Add(cmp.Or(p.Spread, DefaultSpread))
+			p.spread = now.Add(cmp.Or(p.IdleDrainDuration, DefaultIdleDrainDuration))
 			p.count, p.proof = now, p.number+1
 			p.emit(CloseListener{})
 		}
@@ -203,7 +203,7 @@
 	if p.phase != returning && !now.Before(p.count) {
 		p.count = now.Add(countEvery)
 		p.number++
-		p.emit(Count{Number: p.number})
+		p.emit(CountSessions{Number: p.number})
 	}
 }
 
@@ -246,7 +246,7 @@
 	code := 0
 	if why != Done {
 		code = 1
-		s.Cut, s.Idle = p.load.Busy, p.load.Idle
+		s.Interrupted, s.Idle = p.load.Busy, p.load.Idle
 		for g := range p.groups {
 			s.Kept = append(s.Kept, g)
 		}
--- a/leaver/process_test.go
+++ b/leaver/process_test.go
@@ -25,7 +25,7 @@
 	slow     bool                 // a Load arrives one Count late
 	last     int                  // callers that connect right before the listener is closed
 	told     time.Time
-	late     *Load
+	late     *SessionCounts
 	begin    time.Time
 	closed   bool
 	ended    int
@@ -60,7 +60,7 @@
 	case HandOver:
 		h.refusals--
 		h.give(HandedOver{Group: c.Group, To: "deputy", OK: h.refusals < 0})
-	case Count:
+	case CountSessions:
 		h.counted(c)
 	case CloseListener:
 		h.closed, h.idle = true, h.idle+h.last
@@ -71,15 +71,15 @@
 	case ReturnShares:
 		h.note("shares given back")
 		if !h.mute {
-			h.give(Returned{OK: true})
+			h.give(SharesReturned{OK: true})
 		}
 	case Exit:
 		h.exit = &c
 	}
 }
 
-func (h *host) counted(c Count) {
-	load := Load{Number: c.Number, Idle: h.idle, Busy: append([]Session(nil), h.stuck...), Ended: h.ended, Finished: h.finished}
+func (h *host) counted(c CountSessions) {
+	load := SessionCounts{Number: c.Number, Idle: h.idle, Busy: append([]Session(nil), h.stuck...), Ended: h.ended, Finished: h.finished}
 	for id := range h.busy {
 		load.Busy = append(load.Busy, Session{ID: id, Tenant: "damplinjerne"})
 	}
@@ -124,7 +124,7 @@
 
 func TestStops(t *testing.T) {
 	second := time.Second
-	cut := func(h *host) []Session { return h.exit.Summary.Cut }
+	cut := func(h *host) []Session { return h.exit.Summary.Interrupted }
 	tests := []struct {
 		name  string
 		tells string // symptom, sequence, cause
@@ -223,10 +223,10 @@
 		want   Reason
 		ended  time.Duration
 	}{
-		{"deadline", time.Hour, Signal, Deadline, DefaultLimit},
-		{"second signal", 5 * time.Second, Signal, Again, 5 * time.Second},
-		{"drain after a signal changes nothing", 5 * time.Second, Drain, Deadline, DefaultLimit},
-		{"platform after a signal changes nothing", 5 * time.Second, Platform, Deadline, DefaultLimit},
+		{"deadline", time.Hour, Signal, Deadline, DefaultStopTimeout},
+		{"second signal", 5 * time.Second, Signal, SecondSignal, 5 * time.Second},
+		{"drain after a signal changes nothing", 5 * time.Second, Drain, Deadline, DefaultStopTimeout},
+		{"platform after a signal changes nothing", 5 * time.Second, Platform, Deadline, DefaultStopTimeout},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 			is.Equal(h.exit.Code, 1)
 			is.Equal(s.Reason, tt.want)
 			is.Equal(s.Ended.Sub(s.Began), tt.ended)
-			is.Equal(s.Cut, []Session{stuck})
+			is.Equal(s.Interrupted, []Session{stuck})
 			is.Equal(s.Kept, []string{"fiestas-base-1"})
 			is.True(strings.Contains(s.String(), "1 cut quetzaltenango/17(transaction)"))
 			is.Equal(len(h.process.Handle(Tick{}, h.now.Add(time.Hour))), 0) // over
--- a/leaver/summary.go
+++ b/leaver/summary.go
@@ -29,10 +29,10 @@
 	if s.Idle > 0 {
 		fmt.Fprintf(&b, ", %d idle sessions ended at once", s.Idle)
 	}
-	fmt.Fprintf(&b, ", %d cut", len(s.Cut))
-	for i, c := range s.Cut {
+	fmt.Fprintf(&b, ", %d cut", len(s.Interrupted))
+	for i, c := range s.Interrupted {
 		if i == maxNamed {
-			fmt.Fprintf(&b, " and %d more", len(s.Cut)-maxNamed)
+			fmt.Fprintf(&b, " and %d more", len(s.Interrupted)-maxNamed)
 			break
 		}
 		fmt.Fprintf(&b, " %s", c)
--- a/limiter/admitter.go
+++ b/limiter/admitter.go
@@ -71,7 +71,7 @@
 // refuse drops the waiting node at place at as one that can't be in time.
 func (q *Queue) refuse(at int, now time.Time) {
 	i := q.order[at]
-	e := Event{Ticket: q.ticket(i), Cause: retrier.Late, Back: q.back(now)}
+	e := Event{Ticket: q.ticket(i), Cause: retrier.Late, RetryAt: q.back(now)}
 	q.remove(at)
 	q.release(i)
 	q.refused = append(q.refused, e)
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -57,25 +57,25 @@
 	g.deliver(0)
 }
 
-// Wait returns the expected wait for a slot; see [Queue.Wait].
-func (g *Gate) Wait() time.Duration {
+// ExpectedWait returns the expected wait for a slot; see [Queue.ExpectedWait].
+func (g *Gate) ExpectedWait() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.Queue.Wait(g.Now())
+	return g.Queue.ExpectedWait(g.Now())
 }
 
-// Expected returns the mean service time of a class; see [Queue.Expected].
-func (g *Gate) Expected(c Class) time.Duration {
+// MeanServiceTime returns the mean service time of a class; see [Queue.MeanServiceTime].
+func (g *Gate) MeanServiceTime(c Class) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.Queue.Expected(c)
+	return g.Queue.MeanServiceTime(c)
 }
 
-// Least sets the smallest bound of the window, also while items wait and run.
-func (g *Gate) Least(n int) {
+// SetWindowMin sets the smallest bound of the window, also while items wait and run.
+func (g *Gate) SetWindowMin(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Queue.Window.Least = n
+	g.Queue.Window.Min = n
 	g.deliver(0)
 }
 
@@ -125,7 +125,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	late := Event{Ticket: t, Cause: retrier.Late, Back: g.Queue.back(g.Now())}
+	late := Event{Ticket: t, Cause: retrier.Late, RetryAt: g.Queue.back(g.Now())}
 	if g.Queue.Cancel(t) {
 		return late
 	}
@@ -141,5 +141,5 @@
 func (t Ticket) index() int { return int(uint32(t)) - 1 }
 
 func (e Event) outcome() retrier.Outcome {
-	return retrier.Outcome{Kind: retrier.NotRun, Cause: e.Cause, Back: e.Back}
+	return retrier.Outcome{Kind: retrier.NotRun, Cause: e.Cause, Back: e.RetryAt}
 }
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -50,7 +50,7 @@
 	Ticket  Ticket
 	Granted bool
 	Cause   retrier.Cause
-	Back    time.Time
+	RetryAt time.Time
 }
 
 // Defaults of a queue.
@@ -106,13 +106,13 @@
 // before the first offer. Nothing is allocated once all nodes and tenants have
 // been seen. A Queue is not safe for concurrent use; see [Gate].
 type Queue struct {
-	Length  int           // greatest number of waiting items
-	Service time.Duration // service time assumed before the first sample
-	Window  Window        // how many items may run at a time
-	Classes [ClassCount]ClassLimits
-	// Lost is how many mean service times an item may run before its answer counts as
+	MaxLength          int           // greatest number of waiting items
+	InitialServiceTime time.Duration // service time assumed before the first sample
+	Window             Window        // how many items may run at a time
+	Classes            [ClassCount]ClassLimits
+	// LostThreshold is how many mean service times an item may run before its answer counts as
 	// lost and its slot is given to the next; zero is never.
-	Lost int
+	LostThreshold int
 
 	nodes    []node
 	free     []int32
@@ -132,8 +132,8 @@
 	if q.nodes == nil {
 		q.start()
 	}
-	q.Length, q.Window.Most, q.Classes = l.Queue, l.Window, l.Classes
-	for len(q.nodes) < q.Length+q.Window.most() {
+	q.MaxLength, q.Window.Max, q.Classes = l.Queue, l.Window, l.Classes
+	for len(q.nodes) < q.MaxLength+q.Window.most() {
 		q.free = append(q.free, int32(len(q.nodes)))
 		q.nodes = append(q.nodes, node{})
 	}
@@ -149,20 +149,20 @@
 // full reports whether another item of the class may not wait.
 func (q *Queue) full(c Class) bool {
 	most := q.Classes[c].Queue
-	return len(q.order) >= q.Length || len(q.free) == 0 || (most > 0 && q.waits[c] >= most)
+	return len(q.order) >= q.MaxLength || len(q.free) == 0 || (most > 0 && q.waits[c] >= most)
 }
 
 func (q *Queue) start() {
-	if q.Length == 0 {
-		q.Length = DefaultLength
+	if q.MaxLength == 0 {
+		q.MaxLength = DefaultLength
 	}
-	if q.Service == 0 {
-		q.Service = DefaultService
+	if q.InitialServiceTime == 0 {
+		q.InitialServiceTime = DefaultService
 	}
 	for c := range q.service {
-		q.service[c] = q.Service
+		q.service[c] = q.InitialServiceTime
 	}
-	size := q.Length + q.Window.most()
+	size := q.MaxLength + q.Window.most()
 	q.nodes = make([]node, size)
 	q.free = make([]int32, 0, size)
 	for i := size - 1; i >= 0; i-- {
@@ -181,7 +181,7 @@
 		q.start()
 	}
 	if q.full(it.Class) {
-		return 0, Event{Cause: retrier.Busy, Back: q.back(now)}
+		return 0, Event{Cause: retrier.Busy, RetryAt: q.back(now)}
 	}
 	i := q.free[len(q.free)-1]
 	q.free = q.free[:len(q.free)-1]
@@ -291,18 +291,18 @@
 // Running returns the number of items that have a slot.
 func (q *Queue) Running() int { return len(q.active) }
 
-// Expected returns the mean service time of a class, waiting inside the upstream
+// MeanServiceTime returns the mean service time of a class, waiting inside the upstream
 // included.
-func (q *Queue) Expected(c Class) time.Duration {
+func (q *Queue) MeanServiceTime(c Class) time.Duration {
 	if q.nodes == nil {
 		q.start()
 	}
 	return q.service[c]
 }
 
-// Wait returns how long an item offered now with the latest deadline would wait
+// ExpectedWait returns how long an item offered now with the latest deadline would wait
 // for a slot, by the expected service times.
-func (q *Queue) Wait(now time.Time) time.Duration {
+func (q *Queue) ExpectedWait(now time.Time) time.Duration {
 	if q.nodes == nil {
 		return 0
 	}
@@ -317,7 +317,7 @@
 	return ahead / slots
 }
 
-func (q *Queue) back(now time.Time) time.Time { return now.Add(q.Wait(now)) }
+func (q *Queue) back(now time.Time) time.Time { return now.Add(q.ExpectedWait(now)) }
 
 func (q *Queue) ticket(i int32) Ticket {
 	return Ticket(q.nodes[i].gen)<<32 | Ticket(i+1)
--- a/limiter/queue_test.go
+++ b/limiter/queue_test.go
@@ -30,7 +30,7 @@
 
 // one returns a queue with a single slot and a service time of 10 ms.
 func one() *Queue {
-	return &Queue{Service: 10 * time.Millisecond, Window: Window{Most: 1, Fixed: true}}
+	return &Queue{InitialServiceTime: 10 * time.Millisecond, Window: Window{Max: 1, Fixed: true}}
 }
 
 func TestDeadlineFirst(t *testing.T) {
@@ -66,7 +66,7 @@
 	e, ok := q.Next(epoch)
 	is.True(ok && !e.Granted) // a lookup is told at once that it can't be in time
 	is.Equal(e.Cause, retrier.Late)
-	is.True(e.Back.After(epoch))
+	is.True(e.RetryAt.After(epoch))
 	_, refusal := q.Offer(epoch, Item{Deadline: after(9)})
 	is.Equal(refusal.Cause, retrier.Late) // not even with a free slot
 	_, refusal = q.Offer(epoch, Item{Class: Booking, Deadline: after(9)})
@@ -115,13 +115,13 @@
 func TestFullQueueSaysBusy(t *testing.T) {
 	is := is.New(t)
 	q := one()
-	q.Length = 2
+	q.MaxLength = 2
 	for range 2 {
 		q.Offer(epoch, Item{Deadline: after(1000)})
 	}
 	_, refusal := q.Offer(epoch, Item{Deadline: after(1000)})
 	is.Equal(refusal.Cause, retrier.Busy)
-	is.Equal(refusal.Back, after(20))
+	is.Equal(refusal.RetryAt, after(20))
 }
 
 // TestQueueKeepsItsPromises holds random offers, ends and cancels against what a
@@ -129,7 +129,7 @@
 // time, and neither the window nor the length is passed.
 func TestQueueKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := &Queue{Length: 8, Window: Window{Most: 3, Fixed: rapid.Bool().Draw(t, "fixed")}}
+		q := &Queue{MaxLength: 8, Window: Window{Max: 3, Fixed: rapid.Bool().Draw(t, "fixed")}}
 		now := epoch
 		waits := map[Ticket]Item{}
 		var runs []Ticket
@@ -188,13 +188,13 @@
 // Cause: bounds that are read once at the start.
 func TestApply(t *testing.T) {
 	is := is.New(t)
-	q := &Queue{Length: 1, Window: Window{Most: 3, Fixed: true}}
+	q := &Queue{MaxLength: 1, Window: Window{Max: 3, Fixed: true}}
 	offer := func(c Class) (Ticket, Event) { return q.Offer(epoch, Item{Class: c, Deadline: after(1000)}) }
 	one, _ := offer(Lookup)
 	q.Next(epoch)
 	two, _ := offer(Lookup)
 	q.Next(epoch)
-	l := Ordinary()
+	l := DefaultLimits()
 	l.Window, l.Queue = 3, 4
 	l.Classes[Lookup].Slots, l.Classes[Lookup].Queue = 1, 1
 	q.Apply(l)
@@ -258,10 +258,10 @@
 
 func TestLimitsCheck(t *testing.T) {
 	is := is.New(t)
-	for _, l := range []Limits{Ordinary(), Peak(), Maintenance()} {
+	for _, l := range []Limits{DefaultLimits(), Peak(), Maintenance()} {
 		is.NoErr(l.Check())
 	}
-	bad := Ordinary()
+	bad := DefaultLimits()
 	bad.Reserved = bad.Connections
 	is.Equal(bad.Check().Error(), "reserved: limiter: limits out of bounds")
 }
@@ -346,7 +346,7 @@
 }
 
 func BenchmarkGate(b *testing.B) {
-	g := &Gate{Queue: Queue{Window: Window{Most: 16, Fixed: true}}, Now: func() time.Time { return epoch }}
+	g := &Gate{Queue: Queue{Window: Window{Max: 16, Fixed: true}}, Now: func() time.Time { return epoch }}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/limiter/shares.go
+++ b/limiter/shares.go
@@ -74,8 +74,8 @@
 // view is retired, before the next change of members.
 const MaxViews = 64
 
-// Last returns the Seq of the newest view, zero for an empty record.
-func (r Record) Last() uint64 {
+// LastSeq returns the Seq of the newest view, zero for an empty record.
+func (r Record) LastSeq() uint64 {
 	if len(r.Views) == 0 {
 		return 0
 	}
@@ -121,10 +121,10 @@
 	return &s.peers[i]
 }
 
-// See takes the record as read from the platform or a peer. Older records than
+// ReceiveRecord takes the record as read from the platform or a peer. Older records than
 // the one known are ignored.
-func (s *Shares) See(r Record) {
-	if r.Last() < s.record.Last() || len(r.Views) == 0 {
+func (s *Shares) ReceiveRecord(r Record) {
+	if r.LastSeq() < s.record.LastSeq() || len(r.Views) == 0 {
 		return
 	}
 	s.record = r
@@ -132,18 +132,18 @@
 	s.retire()
 }
 
-// Hear takes a member's confirmation that it has seen view seq and keeps to it.
+// ReceiveConfirmation takes a member's confirmation that it has seen view seq and keeps to it.
 // Confirmations may be lost, doubled or late.
-func (s *Shares) Hear(from Member, seq uint64) {
+func (s *Shares) ReceiveConfirmation(from Member, seq uint64) {
 	p := s.peer(from)
 	p.seq = max(p.seq, seq)
 	s.retire()
 }
 
-// Gone takes the proof that a member has ended and its connections with it: the
+// MarkEnded takes the proof that a member has ended and its connections with it: the
 // platform's instance list has dropped its instance, or a later incarnation runs
 // on it. Silence is no proof.
-func (s *Shares) Gone(m Member) {
+func (s *Shares) MarkEnded(m Member) {
 	s.peer(m).gone = true
 	s.retire()
 }
@@ -184,7 +184,7 @@
 	if len(s.record.Views) == 0 {
 		return 0
 	}
-	return s.least(upstream, s.record.Last())
+	return s.least(upstream, s.record.LastSeq())
 }
 
 // least returns the smallest share in the views from base to last.
@@ -204,7 +204,7 @@
 // Confirm returns the view that this member may confirm to the others, given its
 // open connections to each upstream. It is the newest one only after what that
 // view takes away has been closed. It is called after each change of the open
-// connections or the record while [Shares.Settled] is false.
+// connections or the record while [Shares.Converged] is false.
 func (s *Shares) Confirm(open map[string]int) uint64 {
 	p := s.peer(s.Self)
 	p.seq = max(p.seq, s.newestFit(open))
@@ -213,9 +213,9 @@
 	return seq
 }
 
-// Settled reports whether all members keep to the newest view, as far as known
+// Converged reports whether all members keep to the newest view, as far as known
 // here.
-func (s *Shares) Settled() bool { return s.base == s.record.Last() }
+func (s *Shares) Converged() bool { return s.base == s.record.LastSeq() }
 
 func (s *Shares) newestFit(open map[string]int) uint64 {
 	for i := len(s.record.Views) - 1; i >= 0; i-- {
@@ -246,7 +246,7 @@
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, Member.compare)
 	sorted = slices.Compact(sorted)
-	next := View{Seq: s.record.Last() + 1, Limit: limit, Members: sorted}
+	next := View{Seq: s.record.LastSeq() + 1, Limit: limit, Members: sorted}
 	if n := len(s.record.Views); n > 0 {
 		last := s.record.Views[n-1]
 		if last.Limit == limit && slices.Equal(last.Members, sorted) {
--- a/limiter/shares_test.go
+++ b/limiter/shares_test.go
@@ -85,7 +85,7 @@
 		if sc.cold {
 			break
 		}
-		f.members[i].See(f.history[0])
+		f.members[i].ReceiveRecord(f.history[0])
 		f.open[i] = f.members[i].Allowed(up)
 		f.confirm(i, sound)
 	}
@@ -109,7 +109,7 @@
 			b = append(b, 'x', byte(f.sent[i]))
 			continue
 		}
-		b = append(b, byte(m.record.Last()), byte(m.base), byte(f.open[i]), byte(f.sent[i]))
+		b = append(b, byte(m.record.LastSeq()), byte(m.base), byte(f.open[i]), byte(f.sent[i]))
 		for _, p := range m.peers {
 			b = append(b, p.member.Name[0], byte(p.seq))
 			if p.gone {
@@ -154,14 +154,14 @@
 		}
 		m := &f.members[i]
 		for _, r := range f.history { // a read of the record, also an old one from a peer
-			if r.Last() > m.record.Last() {
-				e.step(f, func(n *fleet) { n.members[i].See(r) })
+			if r.LastSeq() > m.record.LastSeq() {
+				e.step(f, func(n *fleet) { n.members[i].ReceiveRecord(r) })
 			}
 		}
 		if allowed := f.allowed(i, broken); allowed != f.open[i] {
 			e.step(f, func(n *fleet) { n.open[i] = allowed }) // opens, or closes its surplus
 		}
-		if own := f.members[i].peer(m.Self).seq; own < m.record.Last() {
+		if own := f.members[i].peer(m.Self).seq; own < m.record.LastSeq() {
 			e.step(f, func(n *fleet) { n.confirm(i, broken) })
 		}
 		if f.deaths() < f.scope.deaths {
@@ -181,7 +181,7 @@
 	}
 	f.sent[i] = m.Confirm(map[string]int{up: open})
 	if broken == retireEarly {
-		m.peer(m.Self).seq = m.record.Last()
+		m.peer(m.Self).seq = m.record.LastSeq()
 		m.retire()
 	}
 }
@@ -194,10 +194,10 @@
 		}
 		p := *f.members[i].peer(member(j))
 		if f.sent[j] > p.seq {
-			e.step(f, func(n *fleet) { n.members[i].Hear(member(j), n.sent[j]) })
+			e.step(f, func(n *fleet) { n.members[i].ReceiveConfirmation(member(j), n.sent[j]) })
 		}
 		if !p.gone && (f.dead[j] || broken == silenceIsGone) {
-			e.step(f, func(n *fleet) { n.members[i].Gone(member(j)) })
+			e.step(f, func(n *fleet) { n.members[i].MarkEnded(member(j)) })
 		}
 	}
 }
@@ -206,7 +206,7 @@
 // record; the conditional update refuses all others.
 func (f *fleet) proposals(i int, broken fault, e *explorer) {
 	last := f.history[len(f.history)-1]
-	if f.members[i].record.Last() != last.Last() || len(f.history) > len(f.scope.sets) {
+	if f.members[i].record.LastSeq() != last.LastSeq() || len(f.history) > len(f.scope.sets) {
 		return
 	}
 	for _, set := range f.scope.sets[len(f.history)-1] {
@@ -277,11 +277,11 @@
 	exchange := func() {
 		for range 4 {
 			for i := range f.members {
-				f.members[i].See(f.history[len(f.history)-1])
+				f.members[i].ReceiveRecord(f.history[len(f.history)-1])
 				f.open[i] = f.members[i].Allowed(up)
 				f.confirm(i, sound)
 				for j := range f.members {
-					f.members[j].Hear(member(i), f.sent[i])
+					f.members[j].ReceiveConfirmation(member(i), f.sent[i])
 				}
 			}
 		}
@@ -292,13 +292,13 @@
 		f.history = append(f.history, next)
 		exchange()
 		is.Equal(f.total(), smallCap) // all of it is in use again
-		is.True(f.members[by].Settled())
+		is.True(f.members[by].Converged())
 	}
 	exchange()
 	change(0, abc)
 	is.True(f.open[2] > 0)
 	for i := 1; i < len(f.members); i++ {
-		f.members[i].Gone(member(0))
+		f.members[i].MarkEnded(member(0))
 	}
 	f.dead[0] = true
 	_, again := f.members[1].Propose(smallCap, abc)
--- a/limiter/window.go
+++ b/limiter/window.go
@@ -25,8 +25,8 @@
 //
 // The zero Window is ready for use. Least equal to Most gives a fixed bound.
 type Window struct {
-	Least int // smallest bound
-	Most  int // greatest bound
+	Min   int // smallest bound
+	Max   int // greatest bound
 	Fixed bool
 
 	limit float64
@@ -56,17 +56,17 @@
 }
 
 func (w *Window) least() int {
-	if w.Least == 0 {
+	if w.Min == 0 {
 		return DefaultLeast
 	}
-	return w.Least
+	return w.Min
 }
 
 func (w *Window) most() int {
-	if w.Most == 0 {
+	if w.Max == 0 {
 		return DefaultMost
 	}
-	return w.Most
+	return w.Max
 }
 
 // Observe takes the service time of a request that was answered, and whether
--- a/limiter/writeoff.go
+++ b/limiter/writeoff.go
@@ -4,12 +4,12 @@
 
 // overdue reports whether an item has run for so long that its answer is probably lost.
 func (q *Queue) overdue(n *node, now time.Time) bool {
-	return q.Lost > 0 && now.Sub(n.since) > q.patience(n)
+	return q.LostThreshold > 0 && now.Sub(n.since) > q.patience(n)
 }
 
 // patience is how long an item may run before it is overdue.
 func (q *Queue) patience(n *node) time.Duration {
-	return time.Duration(q.Lost) * q.service[n.item.Class]
+	return time.Duration(q.LostThreshold) * q.service[n.item.Class]
 }
 
 // slots returns how many items may be running now. Those whose answers are probably
--- a/limiter/writeoff_test.go
+++ b/limiter/writeoff_test.go
@@ -15,7 +15,7 @@
 func losing(lost int) (asked, inTime int) {
 	const work, aim, deadline, end = 6 * time.Millisecond, 150 * time.Millisecond, 800 * time.Millisecond, 60 * time.Second
 	rng := rand.New(rand.NewPCG(11, 12))
-	q := &Queue{Service: work, Window: Window{Least: 1, Most: 1}, Lost: lost}
+	q := &Queue{InitialServiceTime: work, Window: Window{Min: 1, Max: 1}, LostThreshold: lost}
 	type run struct {
 		ticket Ticket
 		ends   time.Time
@@ -40,7 +40,7 @@
 		for ; !now.Before(next); next = next.Add(time.Duration(rng.ExpFloat64() * float64(100*time.Millisecond))) {
 			asked++
 			due := now.Add(aim)
-			if q.Expected(Booking) > aim {
+			if q.MeanServiceTime(Booking) > aim {
 				due = now.Add(deadline)
 			}
 			if ticket, _ := q.Offer(now, Item{Class: Booking, Deadline: due}); ticket != 0 {
@@ -76,7 +76,7 @@
 // An upstream that has stopped gets no more than twice the window.
 func TestAStoppedUpstreamGetsNoMore(t *testing.T) {
 	is := is.New(t)
-	q := &Queue{Service: 10 * time.Millisecond, Window: Window{Most: 2, Fixed: true}, Lost: 8}
+	q := &Queue{InitialServiceTime: 10 * time.Millisecond, Window: Window{Max: 2, Fixed: true}, LostThreshold: 8}
 	granted := 0
 	for ms := 0; ms < 2000; ms += 20 {
 		now := after(ms)
--- a/overseer/duty.go
+++ b/overseer/duty.go
@@ -20,7 +20,7 @@
 	// holderSilence is how long no holder of a group is heard before another
 	// process takes the duty: three rounds of gossip and some. A holder with more
 	// peers to tell than it tells each round has as many times as long.
-	holderSilence = 3*gossiper.Period + 100*time.Millisecond
+	holderSilence = 3*gossiper.RoundInterval + 100*time.Millisecond
 	// lately is how long what a peer said of a leader, and its place in the order,
 	// count. What one said that was cut off or has died meanwhile would hold a change of
 	// leader up.
@@ -54,14 +54,14 @@
 // version. It depends on nothing that a restore takes away: a store gives no version out
 // twice, and one that is later is higher, whoever remembers the earlier ones.
 func tokenOf(v versioner.Version) (uint64, error) {
-	if v.Era > versioner.MostEra || v.Revision >= 1<<revisionBits {
+	if v.Era > versioner.MaxEra || v.Revision >= 1<<revisionBits {
 		return 0, errors.Newf("overseer: no token for the version %s", v)
 	}
-	return (v.Era<<revisionBits | v.Revision) * replacer.Block, nil
+	return (v.Era<<revisionBits | v.Revision) * replacer.TokenBlockSize, nil
 }
 
 // eraOf returns the era that a token was taken in.
-func eraOf(token uint64) uint64 { return token / replacer.Block >> revisionBits }
+func eraOf(token uint64) uint64 { return token / replacer.TokenBlockSize >> revisionBits }
 
 // duty is what this process knows of the duty for one group.
 type duty struct {
@@ -82,8 +82,8 @@
 			continue
 		}
 		d.highest = max(d.highest, token)
-		if token >= d.highest && p.Heard.After(d.heard) {
-			d.heard, d.holder = p.Heard, p.State
+		if token >= d.highest && p.LastSeen.After(d.heard) {
+			d.heard, d.holder = p.LastSeen, p.State
 		}
 	}
 	if d.token > 0 && d.token < d.highest {
@@ -114,7 +114,7 @@
 	own := weight(group, o.Name)
 	rank := 0
 	for _, p := range peers {
-		if now.Sub(p.Heard) < lately && !p.Leaving && p.Groups[group].Carries && weight(group, p.Name) > own {
+		if now.Sub(p.LastSeen) < lately && !p.Leaving && p.Groups[group].IsGateway && weight(group, p.Name) > own {
 			rank++
 		}
 	}
@@ -125,7 +125,7 @@
 
 // wants reports whether this process should take the duty now.
 func (o *Overseer) wants(d *duty, group string, peers []gossiper.Peer, now time.Time) bool {
-	if d.token > 0 || d.claiming || now.Before(d.next) || o.Leaving() || !o.groups[group].carried.Carries() {
+	if d.token > 0 || d.claiming || now.Before(d.next) || o.Leaving() || !o.groups[group].carried.IsGateway() {
 		return false
 	}
 	silent := now.Sub(d.heard)
@@ -150,11 +150,11 @@
 func (d *duty) patience(peers []gossiper.Peer) time.Duration {
 	charges := 0
 	for _, p := range peers {
-		if gossiper.Charge(d.holder, p.State) {
+		if gossiper.HoldsLeaseFor(d.holder, p.State) {
 			charges++
 		}
 	}
-	turns := max(1, (charges+gossiper.Nearest-1)/gossiper.Nearest)
+	turns := max(1, (charges+gossiper.MaxGroupPeers-1)/gossiper.MaxGroupPeers)
 	return time.Duration(turns) * holderSilence
 }
 
--- a/overseer/duty_test.go
+++ b/overseer/duty_test.go
@@ -11,7 +11,7 @@
 )
 
 func peer(name string, heard time.Time, state gossiper.GroupState) gossiper.Peer {
-	return gossiper.Peer{Heard: heard, State: gossiper.State{Name: name, Groups: map[string]gossiper.GroupState{"g": state}}}
+	return gossiper.Peer{LastSeen: heard, State: gossiper.State{Name: name, Groups: map[string]gossiper.GroupState{"g": state}}}
 }
 
 // Symptom: two processes replace the leader of one group. Sequence: a holder is cut
@@ -60,22 +60,22 @@
 func TestVotes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	leaving := peer("d", now, gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable})
+	leaving := peer("d", now, gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable})
 	leaving.Leaving = true
 	bad, failing, voters := votes("g", []gossiper.Peer{
-		peer("a", now, gossiper.GroupState{Carries: true, Trouble: gossiper.Unreachable}),
-		peer("b", now, gossiper.GroupState{Carries: true}),
-		peer("c", now, gossiper.GroupState{Token: 5, Trouble: gossiper.Stuck}), // holds the duty, carries nothing
-		peer("f", now, gossiper.GroupState{Carries: true, Trouble: gossiper.Failing}),
+		peer("a", now, gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}),
+		peer("b", now, gossiper.GroupState{IsGateway: true}),
+		peer("c", now, gossiper.GroupState{Token: 5, LeaderFault: gossiper.CommitStalled}), // holds the duty, carries nothing
+		peer("f", now, gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Failing}),
 		leaving,
 		{State: gossiper.State{Name: "e"}},
 	})
 	is.Equal(bad, 1)
 	is.Equal(failing, 1)
 	is.Equal(voters, 3)
-	is.True(reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{Carries: true, Leader: "x", Trouble: gossiper.Failing})}, now))
-	is.True(reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{Carries: true, Leader: "x"})}, now))
-	is.True(!reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{Carries: true, Leader: "x", Trouble: gossiper.Stuck})}, now))
+	is.True(reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{IsGateway: true, Leader: "x", LeaderFault: gossiper.Failing})}, now))
+	is.True(reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{IsGateway: true, Leader: "x"})}, now))
+	is.True(!reached("g", "x", []gossiper.Peer{peer("a", now, gossiper.GroupState{IsGateway: true, Leader: "x", LeaderFault: gossiper.CommitStalled})}, now))
 }
 
 // Symptom: a change of leader, or the first statements after a loss of power, take
@@ -86,11 +86,11 @@
 	state := func(g gossiper.GroupState) map[string]gossiper.GroupState {
 		return map[string]gossiper.GroupState{"g": g}
 	}
-	before := state(gossiper.GroupState{Leader: "x", Carries: true})
+	before := state(gossiper.GroupState{Leader: "x", IsGateway: true})
 	is.True(!telling(before, before))
-	is.True(!telling(before, state(gossiper.GroupState{Leader: "y", Carries: true}))) // each sees it for itself
-	is.True(telling(before, state(gossiper.GroupState{Leader: "x", Carries: true, Trouble: gossiper.Stuck})))
-	is.True(telling(before, state(gossiper.GroupState{Leader: "x", Carries: true, Token: 1})))
+	is.True(!telling(before, state(gossiper.GroupState{Leader: "y", IsGateway: true}))) // each sees it for itself
+	is.True(telling(before, state(gossiper.GroupState{Leader: "x", IsGateway: true, LeaderFault: gossiper.CommitStalled})))
+	is.True(telling(before, state(gossiper.GroupState{Leader: "x", IsGateway: true, Token: 1})))
 	is.True(telling(nil, before))
 }
 
@@ -124,7 +124,7 @@
 func TestWhatAPeerSaidLongAgoDoesntCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	behind := []gossiper.Peer{peer("a", now.Add(-lately), gossiper.GroupState{Carries: true, Leader: "x"})}
+	behind := []gossiper.Peer{peer("a", now.Add(-lately), gossiper.GroupState{IsGateway: true, Leader: "x"})}
 	is.True(!reached("g", "x", behind, now))
 	o := &Overseer{Name: "self"}
 	for range 50 {
@@ -144,10 +144,10 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var peers []gossiper.Peer
-	for i := range 2*gossiper.Nearest + 2 {
-		peers = append(peers, peer(fmt.Sprint("p", i), now, gossiper.GroupState{Carries: true}))
+	for i := range 2*gossiper.MaxGroupPeers + 2 {
+		peers = append(peers, peer(fmt.Sprint("p", i), now, gossiper.GroupState{IsGateway: true}))
 	}
 	d := duty{holder: peer("holder", now, gossiper.GroupState{Token: 1}).State}
-	is.Equal(d.patience(peers[:gossiper.Nearest]), holderSilence)
+	is.Equal(d.patience(peers[:gossiper.MaxGroupPeers]), holderSilence)
 	is.Equal(d.patience(peers), 3*holderSilence)
 }
--- a/overseer/overseer.go
+++ b/overseer/overseer.go
@@ -72,13 +72,13 @@
 	Era func() uint64
 	// Live returns the peers that were heard lately.
 	Live func() []gossiper.Peer
-	// Silent, when set, reports whether this process has peers and hears none of them.
-	Silent func() bool
+	// IsPartitioned, when set, reports whether this process has peers and hears none of them.
+	IsPartitioned func() bool
 	// Promote gives an order to the platform.
 	Promote func(context.Context, replacer.Order) (replacer.Outcome, error)
-	// Tell, when set, sends the states to peers at once. Waiting for the next round
+	// NotifyPeers, when set, sends the states to peers at once. Waiting for the next round
 	// of gossip would add an eighth of a second to a change of leader, in the mean.
-	Tell func()
+	NotifyPeers func()
 	// Leaving reports whether this process stops.
 	Leaving func() bool
 	Now     func() time.Time
@@ -120,11 +120,11 @@
 	return o.states
 }
 
-// Trouble returns what this process finds wrong with a group's leader.
-func (o *Overseer) Trouble(group string) gossiper.Trouble {
+// LeaderFault returns what this process finds wrong with a group's leader.
+func (o *Overseer) LeaderFault(group string) gossiper.LeaderFault {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.states[group].Trouble
+	return o.states[group].LeaderFault
 }
 
 // Run runs the control loop until the context ends.
@@ -172,13 +172,13 @@
 			g.bad, g.missed = time.Time{}, time.Time{}
 		}
 		g.duty.hear(c.Name(), peers, now)
-		if g.duty.abandon(c.Carries()) {
+		if g.duty.abandon(c.IsGateway()) {
 			o.Log.Info("overseer: duty given up, other processes carry for the group now", zap.String("group", c.Name()))
 		}
 		view := o.view(g, peers, now)
 		o.heed(g, peers, now)
 		o.yield(g, now)
-		if c.Carries() || g.duty.token > 0 {
+		if c.IsGateway() || g.duty.token > 0 {
 			states[c.Name()] = o.state(g, view.Leader)
 		}
 		if o.wants(&g.duty, c.Name(), peers, now) || o.renews(g, now) {
@@ -191,8 +191,8 @@
 	news := telling(o.states, states)
 	o.states = states
 	o.mu.Unlock()
-	if news && o.Tell != nil {
-		o.Tell()
+	if news && o.NotifyPeers != nil {
+		o.NotifyPeers()
 	}
 	return len(concerned) > 0
 }
@@ -228,7 +228,7 @@
 // looks a second at all of them take most of a small machine's processor.
 func (g *group) concerns() bool {
 	was := g.concerned
-	g.concerned = g.carried.Carries() || g.duty.token > 0 || g.duty.claiming
+	g.concerned = g.carried.IsGateway() || g.duty.token > 0 || g.duty.claiming
 	if g.concerned && !was {
 		g.duty.heard = time.Time{} // it has yet to hear who has the duty
 	}
@@ -248,18 +248,18 @@
 func (o *Overseer) run(ctx context.Context, g *group, commands []replacer.Command) {
 	for _, cmd := range commands {
 		switch cmd := cmd.(type) {
-		case replacer.Explain:
+		case replacer.LogStep:
 			o.Log.Info("overseer: "+cmd.Step, zap.String("group", g.carried.Name()), zap.String("upstream", cmd.Target),
 				zap.String("cause", cmd.Cause), zap.Uint64("token", g.duty.token))
-		case replacer.Halt:
+		case replacer.Suspend:
 			o.ask(ctx, g, cmd.ID, carrier.Command{Verb: carrier.Suspend, Term: cmd.Term})
 		case replacer.Demote:
 			o.ask(ctx, g, cmd.ID, carrier.Command{Verb: carrier.Demote, Term: cmd.Term})
-		case replacer.Look:
+		case replacer.Poll:
 			o.ask(ctx, g, cmd.ID, carrier.Command{Verb: carrier.Status})
-		case replacer.Release:
+		case replacer.Resume:
 			o.ask(ctx, g, cmd.ID, carrier.Command{Verb: carrier.Resume})
-		case replacer.Resign:
+		case replacer.ReleaseLease:
 			o.resign(g)
 		case replacer.Promote:
 			o.order(ctx, g, cmd.Order)
@@ -284,9 +284,9 @@
 		if err != nil {
 			o.Log.Info("overseer: upstream didn't follow an order", zap.String("group", g.carried.Name()), zap.String("upstream", id), zap.Error(err))
 		}
-		ev := replacer.Reported{
-			ID: id, Asked: asked, OK: err == nil, Term: report.Term, Leads: report.Leads,
-			Received: report.Received, Held: report.Held,
+		ev := replacer.UpstreamReport{
+			ID: id, RequestedAt: asked, OK: err == nil, Term: report.Term, Leads: report.Leads,
+			Received: report.Received, SuspendedTerm: report.Held,
 		}
 		o.post(ctx, func(now time.Time) { o.run(ctx, g, g.replacer.Handle(ev, now)) })
 	}()
@@ -302,10 +302,10 @@
 		o.Log.Info("overseer: order answered", zap.String("group", order.Group), zap.String("upstream", order.Upstream),
 			zap.Uint64("token", order.Token), zap.Stringer("outcome", outcome), zap.Error(err))
 		o.post(ctx, func(now time.Time) {
-			if outcome == replacer.Rejected && g.replacer.Last(order) {
+			if outcome == replacer.Rejected && g.replacer.IsLatestOrder(order) {
 				o.rejected(g, order, now)
 			}
-			o.run(ctx, g, g.replacer.Handle(replacer.Ordered{Order: order, Outcome: outcome}, now))
+			o.run(ctx, g, g.replacer.Handle(replacer.OrderAnswer{Order: order, Outcome: outcome}, now))
 		})
 	}()
 }
@@ -313,7 +313,7 @@
 // rejected gives the duty up: the platform may have seen a higher token, and one
 // that was refused is never used again.
 func (o *Overseer) rejected(g *group, order replacer.Order, now time.Time) {
-	if order.Token < g.duty.token || order.Token-g.duty.token >= replacer.Block {
+	if order.Token < g.duty.token || order.Token-g.duty.token >= replacer.TokenBlockSize {
 		return // of an earlier duty
 	}
 	g.duty.token = 0
--- a/overseer/restore_test.go
+++ b/overseer/restore_test.go
@@ -138,7 +138,7 @@
 		return
 	}
 	i := d.rng.IntN(len(d.claims))
-	token := d.claims[i].token + uint64(d.rng.IntN(replacer.Block))
+	token := d.claims[i].token + uint64(d.rng.IntN(replacer.TokenBlockSize))
 	if token < d.seen {
 		return
 	}
@@ -213,7 +213,7 @@
 func (d *drilled) wrong() string {
 	for i, a := range d.claims {
 		for _, b := range d.claims[i+1:] {
-			if a.token/replacer.Block == b.token/replacer.Block {
+			if a.token/replacer.TokenBlockSize == b.token/replacer.TokenBlockSize {
 				return fmt.Sprintf("%s and %s have the token %d", a.holder, b.holder, a.token)
 			}
 			if a.end < b.began && b.token < a.token {
@@ -296,20 +296,20 @@
 		{Era: 1},
 		{Era: 1, Revision: 1},
 		{Era: 2},
-		{Era: versioner.MostEra, Revision: 1<<revisionBits - 1},
+		{Era: versioner.MaxEra, Revision: 1<<revisionBits - 1},
 	}
 	var last uint64
 	for _, v := range rising {
 		token, err := tokenOf(v)
 		is.NoErr(err)
-		is.True(token >= last+replacer.Block)
+		is.True(token >= last+replacer.TokenBlockSize)
 		is.Equal(eraOf(token), v.Era)
-		is.Equal(eraOf(token+replacer.Block-1), v.Era)
+		is.Equal(eraOf(token+replacer.TokenBlockSize-1), v.Era)
 		last = token
 	}
 	_, err := tokenOf(versioner.Version{Revision: 1 << revisionBits})
 	is.True(err != nil)
-	_, err = tokenOf(versioner.Version{Era: versioner.MostEra + 1})
+	_, err = tokenOf(versioner.Version{Era: versioner.MaxEra + 1})
 	is.True(err != nil)
 }
 
