--- a/limiter/admitter.go
+++ b/limiter/admitter.go
@@ -7,7 +7,7 @@
 	"basildale.example/basildale/retrier"
 )
 
-// insert places a node among the waiting ones by deadline, and in its tenant's
+// insert adds a node to the waiting ones, ordered by deadline, and to its tenant's
 // account.
 func (q *Queue) insert(i int32) {
 	n := &q.nodes[i]
@@ -23,61 +23,62 @@
 	}
 	a := &q.accounts[n.item.Tenant]
 	if a.count == 0 {
-		a.used = max(a.used, q.leastUsed()-credit*q.service[Lookup])
+		a.used = max(a.used, q.minUsed()-returnCredit*q.meanService[Lookup])
 		a.queued = 0
 	}
 	a.count++
-	q.waits[n.item.Class]++
-	a.queued += q.service[n.item.Class]
+	q.waitingByClass[n.item.Class]++
+	a.queued += q.meanService[n.item.Class]
 }
 
-// leastUsed returns the service received by the tenant with the least among
-// those that wait. A tenant that comes back after a pause starts near it, so
-// that it can't claim all that it did not ask for while it was away.
-func (q *Queue) leastUsed() time.Duration {
-	least := time.Duration(-1)
+// minUsed returns the least service received by any tenant that has waiting items. A
+// tenant that returns after a pause starts near it, so that it cannot claim the service
+// that it did not ask for in the meantime.
+func (q *Queue) minUsed() time.Duration {
+	lowest := time.Duration(-1)
 	for t := range q.accounts {
-		if a := &q.accounts[t]; a.count > 0 && (least < 0 || a.used < least) {
-			least = a.used
+		if a := &q.accounts[t]; a.count > 0 && (lowest < 0 || a.used < lowest) {
+			lowest = a.used
 		}
 	}
-	return max(least, 0)
+	return max(lowest, 0)
 }
 
-// claim returns the service that a tenant has received and waits for.
-func (a *account) claim() time.Duration { return a.used + a.queued }
+// demand returns the service time that a tenant has received plus that of its waiting
+// items.
+func (a *account) demand() time.Duration { return a.used + a.queued }
 
-// leastClaim returns the smallest claim among the tenants that wait.
-func (q *Queue) leastClaim() time.Duration {
-	least := time.Duration(-1)
+// minDemand returns the smallest demand of the tenants that have waiting items.
+func (q *Queue) minDemand() time.Duration {
+	lowest := time.Duration(-1)
 	for t := range q.accounts {
-		if a := &q.accounts[t]; a.count > 0 && (least < 0 || a.claim() < least) {
-			least = a.claim()
+		if a := &q.accounts[t]; a.count > 0 && (lowest < 0 || a.demand() < lowest) {
+			lowest = a.demand()
 		}
 	}
-	return max(least, 0)
+	return max(lowest, 0)
 }
 
-// remove takes the waiting node at place at out of the order and its account.
+// remove takes the waiting node at index at out of the order and its account.
 func (q *Queue) remove(at int) {
 	n := &q.nodes[q.order[at]]
 	q.order = slices.Delete(q.order, at, at+1)
 	a := &q.accounts[n.item.Tenant]
 	a.count--
-	q.waits[n.item.Class]--
-	a.queued = max(a.queued-q.service[n.item.Class], 0)
+	q.waitingByClass[n.item.Class]--
+	a.queued = max(a.queued-q.meanService[n.item.Class], 0)
 }
 
-// refuse drops the waiting node at place at as one that can't be in time.
+// refuse drops the waiting node at index at because it cannot meet its deadline.
 func (q *Queue) refuse(at int, now time.Time) {
 	i := q.order[at]
-	e := Event{Ticket: q.ticket(i), Cause: retrier.Late, RetryAt: q.back(now)}
+	e := Event{Ticket: q.ticket(i), Cause: retrier.Late, RetryAt: q.retryAt(now)}
 	q.remove(at)
 	q.release(i)
 	q.refused = append(q.refused, e)
 }
 
-// admit refuses items until all that wait can be in time.
+// admit refuses items until all that wait can meet their deadlines.
 func (q *Queue) admit(now time.Time) {
 	for {
 		late := q.firstLate(now)
@@ -88,14 +89,14 @@
 	}
 }
 
-// firstLate returns the place of the first waiting item that would end after
-// its deadline, or -1.
+// firstLate returns the index of the first waiting item that would finish after its
+// deadline, or -1.
 func (q *Queue) firstLate(now time.Time) int {
 	slots := time.Duration(q.Window.Limit())
 	ahead := q.remaining(now)
 	for at, i := range q.order {
 		n := &q.nodes[i]
-		service := q.service[n.item.Class]
+		service := q.meanService[n.item.Class]
 		if ahead/slots+service > n.item.Deadline.Sub(now) {
 			return at
 		}
@@ -104,38 +105,38 @@
 	return -1
 }
 
-// remaining returns the service time that the running items still need. One
-// that has taken longer than expected is expected to take half as long again:
-// so when an upstream stalls, the expected wait grows with each moment, and what
-// can't be in time is refused long before its deadline.
+// remaining returns the service time that the running items still need. An item that
+// has run longer than expected is assumed to need half of its running time again. So
+// when an upstream stalls, the expected wait keeps growing, and items that cannot meet
+// their deadlines are refused long before them.
 func (q *Queue) remaining(now time.Time) time.Duration {
 	sum := time.Duration(0)
-	lost := q.lost(now)
+	skip := q.writtenOff(now)
 	for _, i := range q.active {
 		n := &q.nodes[i]
-		if lost > 0 && q.overdue(n, now) {
-			lost--
+		if skip > 0 && q.overdue(n, now) {
+			skip--
 			continue
 		}
-		took := now.Sub(n.since)
-		left := q.service[n.item.Class] - took
-		sum += max(left, took/2)
+		elapsed := now.Sub(n.grantedAt)
+		left := q.meanService[n.item.Class] - elapsed
+		sum += max(left, elapsed/2)
 	}
 	return sum
 }
 
-// choose returns the place of the item to serve next: the first by deadline of
-// the tenants that are not beyond the fair mark, otherwise the first of all, or
-// -1 if no class that waits may have another slot.
+// choose returns the index of the item to serve next: the one with the earliest
+// deadline among the tenants within the fair limit, otherwise the one with the earliest
+// deadline of all, or -1 if no class with waiting items may use another slot.
 func (q *Queue) choose() int {
-	fair := q.fairMark()
+	limit := q.fairLimit()
 	first := -1
 	for at, i := range q.order {
 		it := &q.nodes[i].item
-		if most := q.Classes[it.Class].Slots; most > 0 && q.runs[it.Class] >= most {
+		if maxSlots := q.Classes[it.Class].Slots; maxSlots > 0 && q.runningByClass[it.Class] >= maxSlots {
 			continue
 		}
-		if q.accounts[it.Tenant].claim() <= fair {
+		if q.accounts[it.Tenant].demand() <= limit {
 			return at
 		}
 		if first < 0 {
@@ -145,36 +146,36 @@
 	return first
 }
 
-// fairMark returns the claim above which a tenant is ahead of its fair part.
-func (q *Queue) fairMark() time.Duration {
-	lead := fairLead * (q.service[Lookup] + q.service[Booking]) / 2
-	return q.leastClaim() + lead
+// fairLimit returns the demand above which a tenant exceeds its fair share.
+func (q *Queue) fairLimit() time.Duration {
+	tolerance := maxTenantLead * (q.meanService[Lookup] + q.meanService[Booking]) / 2
+	return q.minDemand() + tolerance
 }
 
-// victim returns the place, up to last, of the item to refuse.
+// victim returns the index, at most last, of the item to refuse.
 func (q *Queue) victim(last int) int {
-	fair := q.fairMark()
-	worst := 0
+	limit := q.fairLimit()
+	chosen := 0
 	for at := 1; at <= last; at++ {
-		if q.worse(q.order[at], q.order[worst], fair) {
-			worst = at
+		if q.refusedBefore(q.order[at], q.order[chosen], limit) {
+			chosen = at
 		}
 	}
-	return worst
+	return chosen
 }
 
-// worse reports whether a is to be refused before b. A tenant beyond the fair
-// mark goes first, the one with more service received before the other; among
-// the rest the item with less worth for its service time; then the later one.
-func (q *Queue) worse(a, b int32, fair time.Duration) bool {
+// refusedBefore reports whether a is refused before b. Items of the tenant further
+// above the fair limit go first, then the item with the lower weight per service time,
+// then the one that arrived later.
+func (q *Queue) refusedBefore(a, b int32, limit time.Duration) bool {
 	x, y := &q.nodes[a], &q.nodes[b]
-	ahead := max(q.accounts[x.item.Tenant].claim(), fair)
-	if o := max(q.accounts[y.item.Tenant].claim(), fair); ahead != o {
-		return ahead > o
+	excess := max(q.accounts[x.item.Tenant].demand(), limit)
+	if o := max(q.accounts[y.item.Tenant].demand(), limit); excess != o {
+		return excess > o
 	}
-	worth := time.Duration(q.weight(x.item.Class)) * q.service[y.item.Class]
-	if o := time.Duration(q.weight(y.item.Class)) * q.service[x.item.Class]; worth != o {
-		return worth < o
+	value := time.Duration(q.weight(x.item.Class)) * q.meanService[y.item.Class]
+	if o := time.Duration(q.weight(y.item.Class)) * q.meanService[x.item.Class]; value != o {
+		return value < o
 	}
 	return x.arrival > y.arrival
 }
--- a/limiter/doc.go
+++ b/limiter/doc.go
@@ -1,27 +1,27 @@
-// Package limiter keeps the load of upstreams within what they take, and spends
-// what there is on the requests that can still be in time.
+// Package limiter keeps the load on upstreams within what they can take and spends
+// that capacity on the requests that can still meet their deadlines.
 //
-// [Shares] divides the connections of an upstream among the proxies of a group
-// so that the shares never add up to more than its limit, whatever each proxy
-// knows of the others. [Queue] hands out the slots of one upstream at one proxy:
-// by deadline, bookings weighing two lookups, no tenant starving another, and
-// what can't be in time refused at once. Its [Window] follows how many requests
-// the upstream can have at a time. [Gate] is a Queue for many goroutines.
-// [Pacer] spreads the opening of connections. [Limits] are the values of all
-// these that a preset sets.
+// [Shares] divides the connections of an upstream among the proxies of a group. The
+// shares never add up to more than the limit, even while the proxies have different
+// views of the fleet. [Queue] is the admission queue of one upstream at one proxy: it
+// grants slots earliest deadline first, gives a booking the weight of two lookups,
+// keeps tenants from starving each other and refuses at once what cannot meet its
+// deadline. Its [Window] adapts the number of concurrent requests to what the upstream
+// can take. [Gate] makes a Queue safe for concurrent use. [Pacer] rate-limits the
+// opening of connections. [Limits] holds the settings of all of these for one preset.
 //
-// All but Gate are functions of (state, event, now). Refusals are outcomes of
-// package retrier: not run, with a cause and the time to come back.
+// Everything but Gate is a function of (state, event, now). Refusals are outcomes of
+// package retrier: the request was not run, with a cause and the time to try again.
 //
 // # Usage
 //
 //	gate := &limiter.Gate{
-//		Queue: limiter.Queue{Window: limiter.Window{Most: limits.Window}, Length: limits.Queue},
+//		Queue: limiter.Queue{Window: limiter.Window{Max: limits.Window}, MaxLength: limits.Queue},
 //		Now:   now,
 //	}
 //	ticket, outcome := gate.Acquire(ctx, limiter.Item{Tenant: tenant, Class: limiter.Booking, Deadline: deadline})
 //	if ticket == 0 {
-//		return outcome // not run; outcome.Hint says when to come back
+//		return outcome // not run; outcome.Hint says when to try again
 //	}
 //	served := send()
 //	gate.Release(ticket, served)
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -8,27 +8,27 @@
 	"basildale.example/basildale/retrier"
 )
 
-// Gate is a [Queue] for many goroutines: each waits in Acquire until its item
-// has a slot or is refused. Now is the clock; it is set before the first use,
-// like the fields of Queue. A Gate must not be copied.
+// Gate makes a [Queue] safe for concurrent use: each goroutine waits in Acquire until
+// its item gets a slot or is refused. Now is the clock; set it, like the fields of
+// Queue, before the first use. A Gate must not be copied.
 type Gate struct {
 	Queue Queue
 	Now   func() time.Time
 
 	mu      sync.Mutex
-	waiters []waiter // by node
+	waiters []waiter // by index of the node
 }
 
-// waiter is where the goroutine of one node hears its event.
+// waiter delivers the event of one node to the goroutine that waits for it.
 type waiter struct {
 	ticket Ticket
-	events chan Event // of size one, used again for the node's next item
+	events chan Event // has a buffer of one; reused for the node's next item
 }
 
-// Acquire waits for a slot. The outcome is not run, with its cause and the time
-// to come back, when there is no slot in time; otherwise the ticket is to be
-// given back by Release. The end of the context, which should carry the item's
-// deadline, ends the wait.
+// Acquire waits for a slot. If there is none in time, the ticket is zero and the
+// outcome is not run, with its cause and the time to try again. Otherwise the ticket
+// must be given back by Release. The wait ends with the context, which should have the
+// item's deadline.
 func (g *Gate) Acquire(ctx context.Context, it Item) (Ticket, retrier.Outcome) {
 	g.mu.Lock()
 	t, refusal := g.Queue.Offer(g.Now(), it)
@@ -37,11 +37,11 @@
 		g.mu.Unlock()
 		return 0, refusal.outcome()
 	}
-	events := g.wait(t)
+	events := g.register(t)
 	own, settled := g.deliver(t)
 	g.mu.Unlock()
 	if !settled {
-		own = g.hear(ctx, t, events)
+		own = g.await(ctx, t, events)
 	}
 	if !own.Granted {
 		return 0, own.outcome()
@@ -64,14 +64,15 @@
 	return g.Queue.ExpectedWait(g.Now())
 }
 
-// MeanServiceTime returns the mean service time of a class; see [Queue.MeanServiceTime].
+// MeanServiceTime returns the mean service time of a class; see
+// [Queue.MeanServiceTime].
 func (g *Gate) MeanServiceTime(c Class) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Queue.MeanServiceTime(c)
 }
 
-// SetWindowMin sets the smallest bound of the window, also while items wait and run.
+// SetWindowMin sets the lower limit of the window. Items may be waiting and running.
 func (g *Gate) SetWindowMin(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,8 +88,8 @@
 	g.deliver(0)
 }
 
-// wait makes ready the channel on which t's event will be heard.
-func (g *Gate) wait(t Ticket) chan Event {
+// register returns the channel that will deliver the event of t.
+func (g *Gate) register(t Ticket) chan Event {
 	i := t.index()
 	for i >= len(g.waiters) {
 		g.waiters = append(g.waiters, waiter{events: make(chan Event, 1)})
@@ -97,7 +98,7 @@
 	return g.waiters[i].events
 }
 
-// deliver hands all events to their waiters, but for the event of own, which it
+// deliver sends all pending events to their waiters, except the event of own, which it
 // returns.
 func (g *Gate) deliver(own Ticket) (e Event, ok bool) {
 	now := g.Now()
@@ -113,11 +114,10 @@
 	return e, ok
 }
 
-// hear waits for the event of t. When the context ends first, the item is taken
-// out. If that comes too late, because the event is on its way already, the
-// event is taken: dropping it would lose the slot for good, one would see a
-// window that is full with nothing running.
-func (g *Gate) hear(ctx context.Context, t Ticket, events chan Event) Event {
+// await waits for the event of t. When the context ends first, it cancels the item. If
+// the event was already sent, it takes the event and releases a granted slot. Otherwise
+// the slot would be leaked: the window would be full with nothing running.
+func (g *Gate) await(ctx context.Context, t Ticket, events chan Event) Event {
 	select {
 	case e := <-events:
 		return e
@@ -125,7 +125,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	late := Event{Ticket: t, Cause: retrier.Late, RetryAt: g.Queue.back(g.Now())}
+	late := Event{Ticket: t, Cause: retrier.Late, RetryAt: g.Queue.retryAt(g.Now())}
 	if g.Queue.Cancel(t) {
 		return late
 	}
--- a/limiter/pacer.go
+++ b/limiter/pacer.go
@@ -6,30 +6,29 @@
 	"golang.org/x/time/rate"
 )
 
-// Defaults of a pacer: for nine proxies together 45 connections a second, which
-// take a quarter of an upstream with 5 slots at 30 ms each.
+// Defaults of a pacer. With nine proxies they allow 45 connections per second in total,
+// which take a quarter of an upstream with 5 slots at 30 ms per connection.
 const (
-	DefaultOpenRate  = 5 // connections a second
+	DefaultOpenRate  = 5 // connections per second
 	DefaultOpenBurst = 1
 )
 
-// Pacer spreads the opening of connections to one upstream over time.
+// Pacer rate-limits the opening of connections to one upstream.
 //
-// After a failover all proxies open connections to the new primary at the same
-// moment. Opening one takes 10 to 30 ms of the upstream's time, so that hundreds
-// at once hold up the statements that the failover was made for. One would see
-// the gap end and the service time jump. The pacer gives each connection its own
-// time to start, by a token bucket, with jitter so that proxies don't open in
-// step. The zero Pacer has the defaults.
+// After a failover all proxies open connections to the new leader at the same moment.
+// Opening one takes 10 to 30 ms of the upstream's time, so hundreds at once delay the
+// statements that the failover was meant to restore: the outage ends, but the service
+// time jumps. Pacer gives each connection its own start time, by a token bucket with
+// jitter so that proxies do not open in step. The zero Pacer uses the defaults.
 type Pacer struct {
-	Rate  float64 // connections a second, steadily
+	Rate  float64 // connections per second
 	Burst int     // connections at once after a pause
 
 	bucket *rate.Limiter
 }
 
-// Reserve returns when the next connection may be opened, or false if that is
-// after the deadline; then nothing is reserved. Seed draws the jitter, up to one
+// Reserve returns when the next connection may be opened, or false if that is after the
+// deadline; then nothing is reserved. The seed determines the jitter, up to one
 // interval of the rate.
 func (p *Pacer) Reserve(now, deadline time.Time, seed uint64) (time.Time, bool) {
 	if p.bucket == nil {
@@ -58,7 +57,7 @@
 	p.bucket = rate.NewLimiter(rate.Limit(p.Rate), p.Burst)
 }
 
-// jitter draws a wait below one interval of the rate.
+// jitter derives a delay below one interval of the rate from the seed.
 func jitter(perSecond float64, seed uint64) time.Duration {
 	interval := uint64(float64(time.Second) / perSecond)
 	seed = (seed ^ (seed >> 31)) * 0x9e3779b97f4a7c15
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -12,20 +12,20 @@
 
 // The classes.
 const (
-	// Lookup is a read that may be old.
+	// Lookup is a read that may return stale data.
 	Lookup Class = iota
-	// Booking is work that makes, or must see, the newest state.
+	// Booking is work that writes, or must see, the latest state.
 	Booking
-	// Session is work that must see its session's own writes.
+	// Session is work that must see the writes of its own session.
 	Session
 	classCount
 )
 
-// ClassCount is the number of classes; a value per class is an array of it.
+// ClassCount is the number of classes, the length of arrays with a value per class.
 const ClassCount = int(classCount)
 
-// Weight returns what an answer in time is worth when no preset says otherwise:
-// a booking, and a session's work, weigh two lookups.
+// Weight returns the default value of an answer in time, used when no preset sets one:
+// a booking or a session's work weighs as much as two lookups.
 func (c Class) Weight() int {
 	if c == Lookup {
 		return 1
@@ -33,19 +33,19 @@
 	return 2
 }
 
-// Item is one request that wants a slot of the upstream. Tenant is a small
-// number that the caller gives to each tenant, counted from zero.
+// Item is one request for a slot of the upstream. Tenant is a small number that the
+// caller assigns to each tenant, counted from zero.
 type Item struct {
 	Tenant   uint16
 	Class    Class
 	Deadline time.Time
 }
 
-// Ticket names an item in its queue. It is never used twice, and never zero.
+// Ticket identifies an item in its queue. It is never reused and never zero.
 type Ticket uint64
 
-// Event tells what became of a queued item: it has a slot, or it is refused and
-// has not run. Back is when a refused one is worth offering again.
+// Event reports what became of a queued item: either it was granted a slot, or it was
+// refused and has not run. RetryAt is when a refused item is worth offering again.
 type Event struct {
 	Ticket  Ticket
 	Granted bool
@@ -55,16 +55,18 @@
 
 // Defaults of a queue.
 const (
-	DefaultLength  = 256
-	DefaultService = 5 * time.Millisecond
-	// fairLead is how many mean service times a tenant may be ahead of another
-	// before its requests are the first to be refused.
-	fairLead = 4
-	// credit is how many lookups a tenant that comes back may have ahead of it
-	// in service received, for what it left to the others.
-	credit = 16
-	// serviceGain is the part of a new sample in the mean service time, as 1/n.
-	serviceGain = 16
+	DefaultQueueLength = 256
+	DefaultServiceTime = 5 * time.Millisecond
+	// maxTenantLead is how many mean service times a tenant may be ahead of another
+	// before its requests are refused first.
+	maxTenantLead = 4
+	// returnCredit is how many lookups' service time a tenant that returns after a
+	// pause may be below the waiting tenant with the least service received, for what
+	// it left to the others.
+	returnCredit = 16
+	// ewmaDivisor is the inverse weight of a new sample in the moving average of the
+	// service time.
+	ewmaDivisor = 16
 )
 
 type phase uint8
@@ -76,64 +78,63 @@
 )
 
 type node struct {
-	item    Item
-	since   time.Time // granted at
-	arrival uint64
-	gen     uint32
-	phase   phase
-	// overtaken says that an item which was granted later has been served.
+	item       Item
+	grantedAt  time.Time
+	arrival    uint64
+	generation uint32
+	phase      phase
+	// overtaken is set when an item that was granted later has been served.
 	overtaken bool
 }
 
 type account struct {
-	used   time.Duration // service time given, on the common scale of all tenants
+	used   time.Duration // service time received, on the same scale for all tenants
 	queued time.Duration // expected service time of its waiting items
 	count  int           // its waiting items
 }
 
-// Queue hands out the slots of one upstream at one proxy. It keeps the waiting
-// items by deadline, and only those that can be in time: each offer is checked
-// against the expected service times of all that go before it, and when not all
-// can be in time, one is refused at once. That is an item of the tenant that is
-// furthest ahead in service received, and of that tenant the one worth least for
-// its service time.
+// Queue is the admission queue for the slots of one upstream at one proxy. It holds the
+// waiting items ordered by deadline, and only as long as all of them can meet their
+// deadlines. Each offer is checked against the expected service times of everything
+// ahead of it. If an item would be late, one item is refused at once: an item of the
+// tenant that is furthest above its fair share, and of that tenant the one with the
+// lowest weight per service time.
 //
-// Without the check, an overloaded deadline-first queue serves each item just
-// too late: the slots are busy and nothing is in time. One would see full slots
-// and a score near zero.
+// Without this check an overloaded earliest-deadline-first queue serves every item just
+// too late: all slots are busy and hardly anything is answered in time.
 //
-// The zero Queue is ready for use with the defaults; exported fields are set
-// before the first offer. Nothing is allocated once all nodes and tenants have
-// been seen. A Queue is not safe for concurrent use; see [Gate].
+// The zero Queue is ready for use with the defaults. Set the exported fields before the
+// first offer. Nothing is allocated once all nodes and tenants have been used. A Queue
+// is not safe for concurrent use; see [Gate].
 type Queue struct {
-	MaxLength          int           // greatest number of waiting items
+	MaxLength          int           // maximum number of waiting items
 	InitialServiceTime time.Duration // service time assumed before the first sample
-	Window             Window        // how many items may run at a time
+	Window             Window        // bounds how many items run at a time
 	Classes            [ClassCount]ClassLimits
-	// LostThreshold is how many mean service times an item may run before its answer counts as
-	// lost and its slot is given to the next; zero is never.
+	// LostThreshold is how many mean service times an item may run before its answer is
+	// assumed lost and its slot is given to the next item; zero disables this.
 	LostThreshold int
 
-	nodes    []node
-	free     []int32
-	order    []int32 // waiting, by deadline
-	active   []int32 // running
-	refused  []Event // not yet taken by Next
-	accounts []account
-	service  [ClassCount]time.Duration
-	waits    [ClassCount]int
-	runs     [ClassCount]int
-	arrivals uint64
+	nodes          []node
+	free           []int32
+	order          []int32 // waiting, by deadline
+	active         []int32 // running
+	refused        []Event // not yet returned by Next
+	accounts       []account
+	meanService    [ClassCount]time.Duration
+	waitingByClass [ClassCount]int
+	runningByClass [ClassCount]int
+	arrivals       uint64
 }
 
-// Apply sets the limits of a preset, also while items wait and run. What is
-// above a lowered bound stays; only what comes later is bound by it.
+// Apply sets the limits of a preset. Items may be waiting and running. Items above a
+// lowered limit stay; the limit applies to later ones.
 func (q *Queue) Apply(l Limits) {
 	if q.nodes == nil {
 		q.start()
 	}
 	q.MaxLength, q.Window.Max, q.Classes = l.Queue, l.Window, l.Classes
-	for len(q.nodes) < q.MaxLength+q.Window.most() {
+	for len(q.nodes) < q.MaxLength+q.Window.maxLimit() {
 		q.free = append(q.free, int32(len(q.nodes)))
 		q.nodes = append(q.nodes, node{})
 	}
@@ -146,23 +147,23 @@
 	return c.Weight()
 }
 
-// full reports whether another item of the class may not wait.
+// full reports whether no further item of the class may wait.
 func (q *Queue) full(c Class) bool {
-	most := q.Classes[c].Queue
-	return len(q.order) >= q.MaxLength || len(q.free) == 0 || (most > 0 && q.waits[c] >= most)
+	maxWaiting := q.Classes[c].Queue
+	return len(q.order) >= q.MaxLength || len(q.free) == 0 || (maxWaiting > 0 && q.waitingByClass[c] >= maxWaiting)
 }
 
 func (q *Queue) start() {
 	if q.MaxLength == 0 {
-		q.MaxLength = DefaultLength
+		q.MaxLength = DefaultQueueLength
 	}
 	if q.InitialServiceTime == 0 {
-		q.InitialServiceTime = DefaultService
+		q.InitialServiceTime = DefaultServiceTime
 	}
-	for c := range q.service {
-		q.service[c] = q.InitialServiceTime
+	for c := range q.meanService {
+		q.meanService[c] = q.InitialServiceTime
 	}
-	size := q.MaxLength + q.Window.most()
+	size := q.MaxLength + q.Window.maxLimit()
 	q.nodes = make([]node, size)
 	q.free = make([]int32, 0, size)
 	for i := size - 1; i >= 0; i-- {
@@ -173,22 +174,22 @@
 	q.refused = make([]Event, 0, size)
 }
 
-// Offer queues an item. A zero ticket means that it was refused at once, with
-// the reason in the event. After an offer the caller takes events by [Queue.Next]
-// until there are none.
+// Offer queues an item. A zero ticket means that it was refused at once, with the cause
+// in the event. After an offer the caller must call [Queue.Next] until it returns no
+// more events.
 func (q *Queue) Offer(now time.Time, it Item) (Ticket, Event) {
 	if q.nodes == nil {
 		q.start()
 	}
 	if q.full(it.Class) {
-		return 0, Event{Cause: retrier.Busy, RetryAt: q.back(now)}
+		return 0, Event{Cause: retrier.Busy, RetryAt: q.retryAt(now)}
 	}
 	i := q.free[len(q.free)-1]
 	q.free = q.free[:len(q.free)-1]
 	q.arrivals++
 	n := &q.nodes[i]
 	n.item, n.arrival, n.phase = it, q.arrivals, waiting
-	n.gen++
+	n.generation++
 	t := q.ticket(i)
 	q.insert(i)
 	q.admit(now)
@@ -198,7 +199,7 @@
 	return t, Event{}
 }
 
-// takeRefusal takes the refusal of one item out of those not yet taken.
+// takeRefusal removes and returns one item's pending refusal.
 func (q *Queue) takeRefusal(t Ticket) Event {
 	at := slices.IndexFunc(q.refused, func(e Event) bool { return e.Ticket == t })
 	e := q.refused[at]
@@ -206,8 +207,8 @@
 	return e
 }
 
-// Next returns the next event: first the refusals, then grants while there are
-// slots. ok is false when there is none.
+// Next returns the next event: refusals first, then grants while slots are free. ok is
+// false when there is none.
 func (q *Queue) Next(now time.Time) (e Event, ok bool) {
 	for {
 		if n := len(q.refused); n > 0 {
@@ -219,7 +220,7 @@
 			return Event{}, false
 		}
 		i := q.order[0]
-		if it := q.nodes[i].item; now.Add(q.service[it.Class]).After(it.Deadline) {
+		if it := q.nodes[i].item; now.Add(q.meanService[it.Class]).After(it.Deadline) {
 			q.refuse(0, now)
 			continue
 		}
@@ -240,17 +241,17 @@
 	i := q.order[at]
 	n := &q.nodes[i]
 	q.remove(at)
-	q.accounts[n.item.Tenant].used += q.service[n.item.Class]
-	n.phase, n.since, n.overtaken = running, now, false
-	q.runs[n.item.Class]++
+	q.accounts[n.item.Tenant].used += q.meanService[n.item.Class]
+	n.phase, n.grantedAt, n.overtaken = running, now, false
+	q.runningByClass[n.item.Class]++
 	q.active = append(q.active, i)
 }
 
-// Done gives back the slot of a granted item. served is false when it did not
-// run or has no answer. Then its time counts only if it is above the mean: the
-// upstream would have taken at least as long. If it did not count at all, the
-// mean of an overloaded upstream would come from the quick answers alone, and
-// the queue would go on sending what can't be in time.
+// Done releases the slot of a granted item. served is false when the item did not run
+// or got no answer. Its time then counts only if it is above the mean, because the
+// upstream would have taken at least that long. If such items never counted, the mean
+// of an overloaded upstream would come from the quick answers alone, and the queue
+// would keep sending items that cannot meet their deadlines.
 func (q *Queue) Done(now time.Time, t Ticket, served bool) {
 	i, ok := q.find(t, running)
 	if !ok {
@@ -261,20 +262,20 @@
 	at := slices.Index(q.active, i)
 	q.active[at] = q.active[len(q.active)-1]
 	q.active = q.active[:len(q.active)-1]
-	q.runs[n.item.Class]--
+	q.runningByClass[n.item.Class]--
 	if served {
-		q.overtake(n)
+		q.markOvertaken(n)
 	}
-	if took, counts := q.sample(n, now, served); counts {
+	if elapsed, counts := q.sample(n, now, served); counts {
 		c := n.item.Class
-		q.service[c] += (took - q.service[c]) / serviceGain
-		q.Window.Observe(c, took, full)
+		q.meanService[c] += (elapsed - q.meanService[c]) / ewmaDivisor
+		q.Window.Observe(c, elapsed, full)
 	}
 	q.release(i)
 }
 
-// Cancel takes a waiting item out. It returns false when the item no longer
-// waits: its event has been or will be taken by [Queue.Next].
+// Cancel removes a waiting item. It returns false when the item no longer waits:
+// [Queue.Next] has returned its event or will do so.
 func (q *Queue) Cancel(t Ticket) bool {
 	i, ok := q.find(t, waiting)
 	if !ok {
@@ -285,30 +286,30 @@
 	return true
 }
 
-// Waiting returns the number of items that wait.
+// Waiting returns the number of waiting items.
 func (q *Queue) Waiting() int { return len(q.order) }
 
-// Running returns the number of items that have a slot.
+// Running returns the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.active) }
 
-// MeanServiceTime returns the mean service time of a class, waiting inside the upstream
-// included.
+// MeanServiceTime returns the mean service time of a class, including the time that
+// requests wait inside the upstream.
 func (q *Queue) MeanServiceTime(c Class) time.Duration {
 	if q.nodes == nil {
 		q.start()
 	}
-	return q.service[c]
+	return q.meanService[c]
 }
 
-// ExpectedWait returns how long an item offered now with the latest deadline would wait
-// for a slot, by the expected service times.
+// ExpectedWait returns how long an item offered now, with the latest deadline of all,
+// would wait for a slot by the mean service times.
 func (q *Queue) ExpectedWait(now time.Time) time.Duration {
 	if q.nodes == nil {
 		return 0
 	}
 	ahead := q.remaining(now)
 	for _, i := range q.order {
-		ahead += q.service[q.nodes[i].item.Class]
+		ahead += q.meanService[q.nodes[i].item.Class]
 	}
 	slots := time.Duration(q.Window.Limit())
 	if len(q.order) == 0 && len(q.active) < int(slots) {
@@ -317,20 +318,20 @@
 	return ahead / slots
 }
 
-func (q *Queue) back(now time.Time) time.Time { return now.Add(q.ExpectedWait(now)) }
+func (q *Queue) retryAt(now time.Time) time.Time { return now.Add(q.ExpectedWait(now)) }
 
 func (q *Queue) ticket(i int32) Ticket {
-	return Ticket(q.nodes[i].gen)<<32 | Ticket(i+1)
+	return Ticket(q.nodes[i].generation)<<32 | Ticket(i+1)
 }
 
-// find returns the node of a ticket if it is in the given phase.
+// find returns the node of a ticket and whether it is in the given phase.
 func (q *Queue) find(t Ticket, p phase) (int32, bool) {
 	i := int32(uint32(t)) - 1
 	if i < 0 || int(i) >= len(q.nodes) {
 		return 0, false
 	}
 	n := &q.nodes[i]
-	return i, n.phase == p && n.gen == uint32(t>>32)
+	return i, n.phase == p && n.generation == uint32(t>>32)
 }
 
 func (q *Queue) release(i int32) {
--- a/limiter/queue_test.go
+++ b/limiter/queue_test.go
@@ -17,8 +17,7 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// TestMain fixes the seed of the property tests, so that each run gives the same
-// verdict.
+// TestMain fixes the seed of the property tests, so that each run draws the same cases.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -26,59 +25,59 @@
 	os.Exit(m.Run())
 }
 
-func after(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
+func atMillis(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// one returns a queue with a single slot and a service time of 10 ms.
-func one() *Queue {
+// singleSlotQueue returns a queue with a single slot and a service time of 10 ms.
+func singleSlotQueue() *Queue {
 	return &Queue{InitialServiceTime: 10 * time.Millisecond, Window: Window{Max: 1, Fixed: true}}
 }
 
-func TestDeadlineFirst(t *testing.T) {
+func TestEarliestDeadlineFirst(t *testing.T) {
 	is := is.New(t)
-	q := one()
-	busy, _ := q.Offer(epoch, Item{Deadline: after(100)})
+	q := singleSlotQueue()
+	current, _ := q.Offer(epoch, Item{Deadline: atMillis(100)})
 	e, ok := q.Next(epoch)
-	is.True(ok && e.Granted && e.Ticket == busy)
-	last, _ := q.Offer(epoch, Item{Deadline: after(90)})
-	first, _ := q.Offer(epoch, Item{Deadline: after(50)})
+	is.True(ok && e.Granted && e.Ticket == current)
+	later, _ := q.Offer(epoch, Item{Deadline: atMillis(90)})
+	earlier, _ := q.Offer(epoch, Item{Deadline: atMillis(50)})
 	_, ok = q.Next(epoch)
 	is.True(!ok) // the slot is taken
-	q.Done(after(10), busy, true)
-	e, _ = q.Next(after(10))
-	is.Equal(e.Ticket, first)
-	q.Done(after(20), first, true)
-	q.Done(after(20), first, true) // given back twice: no second slot
-	e, _ = q.Next(after(20))
-	is.Equal(e.Ticket, last)
+	q.Done(atMillis(10), current, true)
+	e, _ = q.Next(atMillis(10))
+	is.Equal(e.Ticket, earlier)
+	q.Done(atMillis(20), earlier, true)
+	q.Done(atMillis(20), earlier, true) // a second release frees no second slot
+	e, _ = q.Next(atMillis(20))
+	is.Equal(e.Ticket, later)
 	is.Equal(q.Running(), 1)
 }
 
-// Symptom: a booking is refused while lookups wait. Sequence: lookups fill all
-// the time before its deadline, then it comes. Cause: refusing whoever is last.
-func TestBookingGoesBeforeLookups(t *testing.T) {
+// Guards against refusing the item that comes last: lookups that fill the time before a
+// booking's deadline must give way to the booking.
+func TestLookupIsRefusedBeforeBooking(t *testing.T) {
 	is := is.New(t)
-	q := one()
+	q := singleSlotQueue()
 	for range 3 {
-		q.Offer(epoch, Item{Deadline: after(30)})
+		q.Offer(epoch, Item{Deadline: atMillis(30)})
 	}
-	booking, _ := q.Offer(epoch, Item{Class: Booking, Deadline: after(30)})
+	booking, _ := q.Offer(epoch, Item{Class: Booking, Deadline: atMillis(30)})
 	is.True(booking != 0)
 	e, ok := q.Next(epoch)
-	is.True(ok && !e.Granted) // a lookup is told at once that it can't be in time
+	is.True(ok && !e.Granted) // a lookup is refused at once as late
 	is.Equal(e.Cause, retrier.Late)
 	is.True(e.RetryAt.After(epoch))
-	_, refusal := q.Offer(epoch, Item{Deadline: after(9)})
+	_, refusal := q.Offer(epoch, Item{Deadline: atMillis(9)})
 	is.Equal(refusal.Cause, retrier.Late) // not even with a free slot
-	_, refusal = q.Offer(epoch, Item{Class: Booking, Deadline: after(9)})
+	_, refusal = q.Offer(epoch, Item{Class: Booking, Deadline: atMillis(9)})
 	is.Equal(refusal.Cause, retrier.Late)
 }
 
-// Symptom: a quiet tenant's requests are served just before or after their
-// deadlines. Sequence: another tenant has had the slot ten times and has ten
-// more waiting with earlier deadlines. Cause: serving by deadline alone.
-func TestFairTenantIsServedFirst(t *testing.T) {
+// Guards against serving by deadline alone: a tenant that has had the slot ten times
+// and has ten more requests with earlier deadlines would delay another tenant's request
+// until about its deadline.
+func TestTenantWithLeastServiceIsServedFirst(t *testing.T) {
 	is := is.New(t)
-	q := one()
+	q := singleSlotQueue()
 	now := epoch
 	for range 10 {
 		ticket, _ := q.Offer(now, Item{Deadline: now.Add(time.Second)})
@@ -89,50 +88,50 @@
 	for range 10 {
 		q.Offer(now, Item{Deadline: now.Add(200 * time.Millisecond)})
 	}
-	quiet, _ := q.Offer(now, Item{Tenant: 1, Deadline: now.Add(900 * time.Millisecond)})
+	other, _ := q.Offer(now, Item{Tenant: 1, Deadline: now.Add(900 * time.Millisecond)})
 	e, ok := q.Next(now)
 	is.True(ok && e.Granted)
-	is.Equal(e.Ticket, quiet)
+	is.Equal(e.Ticket, other)
 }
 
-// Symptom: requests wait for an upstream that has stopped answering until their
-// deadlines. Sequence: one request runs far longer than expected. Cause: the
-// expected wait counts finished requests only.
+// Guards against requests that wait until their deadlines for an upstream that no
+// longer answers: a request that runs much longer than expected has to raise the
+// expected wait before it ends.
 func TestStalledUpstreamRefusesEarly(t *testing.T) {
 	is := is.New(t)
-	q := one()
-	q.Offer(epoch, Item{Deadline: after(1000)})
+	q := singleSlotQueue()
+	q.Offer(epoch, Item{Deadline: atMillis(1000)})
 	q.Next(epoch)
-	ticket, _ := q.Offer(after(20), Item{Deadline: after(300)})
+	ticket, _ := q.Offer(atMillis(20), Item{Deadline: atMillis(300)})
 	is.True(ticket != 0)
-	none, refusal := q.Offer(after(200), Item{Deadline: after(300)})
+	none, refusal := q.Offer(atMillis(200), Item{Deadline: atMillis(300)})
 	is.Equal(none, Ticket(0))
 	is.Equal(refusal.Cause, retrier.Late)
-	e, ok := q.Next(after(200))
+	e, ok := q.Next(atMillis(200))
 	is.True(ok && e.Ticket == ticket && !e.Granted) // 100 ms before its deadline
 }
 
-func TestFullQueueSaysBusy(t *testing.T) {
+func TestFullQueueRefusesAsBusy(t *testing.T) {
 	is := is.New(t)
-	q := one()
+	q := singleSlotQueue()
 	q.MaxLength = 2
 	for range 2 {
-		q.Offer(epoch, Item{Deadline: after(1000)})
+		q.Offer(epoch, Item{Deadline: atMillis(1000)})
 	}
-	_, refusal := q.Offer(epoch, Item{Deadline: after(1000)})
+	_, refusal := q.Offer(epoch, Item{Deadline: atMillis(1000)})
 	is.Equal(refusal.Cause, retrier.Busy)
-	is.Equal(refusal.RetryAt, after(20))
+	is.Equal(refusal.RetryAt, atMillis(20))
 }
 
-// TestQueueKeepsItsPromises holds random offers, ends and cancels against what a
-// queue promises: each item has one fate, nothing is granted that can't be in
-// time, and neither the window nor the length is passed.
+// TestQueueKeepsItsPromises checks invariants under random offers, ends and cancels:
+// each item gets exactly one event or is cancelled, nothing is granted after its
+// deadline, and neither the window nor the length is exceeded.
 func TestQueueKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{MaxLength: 8, Window: Window{Max: 3, Fixed: rapid.Bool().Draw(t, "fixed")}}
 		now := epoch
-		waits := map[Ticket]Item{}
-		var runs []Ticket
+		pending := map[Ticket]Item{}
+		var active []Ticket
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "µs")) * time.Microsecond)
 			if rapid.IntRange(0, 9).Draw(t, "stall") == 0 {
@@ -146,95 +145,95 @@
 					Deadline: now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond),
 				}
 				if ticket, _ := q.Offer(now, it); ticket != 0 {
-					waits[ticket] = it
+					pending[ticket] = it
 				}
 			case 2:
-				if len(runs) > 0 {
-					q.Done(now, runs[0], true)
-					runs = runs[1:]
+				if len(active) > 0 {
+					q.Done(now, active[0], true)
+					active = active[1:]
 				}
 			default:
-				for ticket := range waits {
+				for ticket := range pending {
 					if !q.Cancel(ticket) {
 						t.Fatalf("a waiting item can't be cancelled")
 					}
-					delete(waits, ticket)
+					delete(pending, ticket)
 					break
 				}
 			}
 			for e, ok := q.Next(now); ok; e, ok = q.Next(now) {
-				it, known := waits[e.Ticket]
+				it, known := pending[e.Ticket]
 				if !known {
-					t.Fatalf("second fate of an item")
+					t.Fatalf("second event of an item")
 				}
-				delete(waits, e.Ticket)
+				delete(pending, e.Ticket)
 				if !e.Granted {
 					continue
 				}
 				if now.After(it.Deadline) {
 					t.Fatalf("granted after its deadline")
 				}
-				runs = append(runs, e.Ticket)
+				active = append(active, e.Ticket)
 			}
-			if q.Running() != len(runs) || len(runs) > 3 || q.Waiting() != len(waits) || len(waits) > 8 {
-				t.Fatalf("%d/%d run, %d/%d wait", q.Running(), len(runs), q.Waiting(), len(waits))
+			if q.Running() != len(active) || len(active) > 3 || q.Waiting() != len(pending) || len(pending) > 8 {
+				t.Fatalf("%d/%d run, %d/%d wait", q.Running(), len(active), q.Waiting(), len(pending))
 			}
 		}
 	})
 }
 
-// Symptom: a preset's change doesn't reach requests, or cuts those under way.
-// Sequence: two lookups run when the preset allows them one slot and one place.
-// Cause: bounds that are read once at the start.
-func TestApply(t *testing.T) {
+// Guards against limits that are read only once, and against a changed preset that
+// interrupts running requests: two lookups run when the preset allows the class one
+// slot and one waiting request.
+func TestApplyWhileRequestsRun(t *testing.T) {
 	is := is.New(t)
 	q := &Queue{MaxLength: 1, Window: Window{Max: 3, Fixed: true}}
-	offer := func(c Class) (Ticket, Event) { return q.Offer(epoch, Item{Class: c, Deadline: after(1000)}) }
-	one, _ := offer(Lookup)
+	offer := func(c Class) (Ticket, Event) { return q.Offer(epoch, Item{Class: c, Deadline: atMillis(1000)}) }
+	first, _ := offer(Lookup)
 	q.Next(epoch)
-	two, _ := offer(Lookup)
+	second, _ := offer(Lookup)
 	q.Next(epoch)
 	l := DefaultLimits()
 	l.Window, l.Queue = 3, 4
 	l.Classes[Lookup].Slots, l.Classes[Lookup].Queue = 1, 1
 	q.Apply(l)
-	is.Equal(q.Running(), 2) // what runs goes on
+	is.Equal(q.Running(), 2) // running requests continue
 	waits, _ := offer(Lookup)
 	_, refusal := offer(Lookup)
-	is.Equal(refusal.Cause, retrier.Busy) // the class has one place
+	is.Equal(refusal.Cause, retrier.Busy) // the class may have one waiting request
 	_, ok := q.Next(epoch)
 	is.True(!ok) // a third slot is free, but not for lookups
 	booking, _ := offer(Booking)
 	e, _ := q.Next(epoch)
 	is.Equal(e.Ticket, booking)
-	q.Done(after(1), one, true)
-	_, ok = q.Next(after(1))
+	q.Done(atMillis(1), first, true)
+	_, ok = q.Next(atMillis(1))
 	is.True(!ok)
-	q.Done(after(2), two, true)
-	e, _ = q.Next(after(2))
+	q.Done(atMillis(2), second, true)
+	e, _ = q.Next(atMillis(2))
 	is.Equal(e.Ticket, waits)
 }
 
-func TestSharesAddUp(t *testing.T) {
+func TestSharesAddUpToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := View{Limit: rapid.IntRange(1, 60).Draw(t, "limit")}
 		for i := range rapid.IntRange(1, 100).Draw(t, "members") {
 			v.Members = append(v.Members, Member{Name: string(rune('A' + i))})
 		}
-		sum, least, most := 0, v.Limit, 0
+		sum, smallest, largest := 0, v.Limit, 0
 		for _, m := range v.Members {
-			n := v.Share(up, m)
-			sum, least, most = sum+n, min(least, n), max(most, n)
+			n := v.Share(upstreamAddress, m)
+			sum, smallest, largest = sum+n, min(smallest, n), max(largest, n)
 		}
-		if sum != v.Limit || most-least > 1 {
-			t.Fatalf("shares %d..%d add up to %d of %d", least, most, sum, v.Limit)
+		if sum != v.Limit || largest-smallest > 1 {
+			t.Fatalf("shares %d..%d add up to %d of %d", smallest, largest, sum, v.Limit)
 		}
 	})
 }
 
-// Symptom: after a failover the new primary answers slowly. Sequence: a proxy
-// wants 12 connections at the same moment. Cause: opening them all at once.
-func TestPacer(t *testing.T) {
+// Guards against a proxy that opens all its connections at once after a failover, 12
+// here, and so slows down the new leader.
+func TestPacerSpreadsOpening(t *testing.T) {
 	is := is.New(t)
 	p := Pacer{Rate: 10, Burst: 2}
 	var starts []time.Time
@@ -258,7 +257,7 @@
 
 func TestLimitsCheck(t *testing.T) {
 	is := is.New(t)
-	for _, l := range []Limits{DefaultLimits(), Peak(), Maintenance()} {
+	for _, l := range []Limits{DefaultLimits(), PeakLimits(), MaintenanceLimits()} {
 		is.NoErr(l.Check())
 	}
 	bad := DefaultLimits()
@@ -266,13 +265,13 @@
 	is.Equal(bad.Check().Error(), "reserved: limiter: limits out of bounds")
 }
 
-// Symptom: a proxy stops serving an upstream although nothing runs there.
-// Sequence: waits end by their contexts at the moment their slots are granted.
-// Cause: a granted slot that nobody takes.
-func TestGateLosesNoSlot(t *testing.T) {
+// Guards against leaked slots: when a context ends at the moment its slot is granted
+// and nobody takes the slot, the proxy stops serving the upstream although nothing runs
+// there.
+func TestGateLeaksNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := &Gate{Queue: *one(), Now: time.Now}
+		g := &Gate{Queue: *singleSlotQueue(), Now: time.Now}
 		var wg sync.WaitGroup
 		granted := make([]int, 100)
 		for i := range granted {
@@ -303,18 +302,18 @@
 	})
 }
 
-// round offers, grants and ends one item while 20 others wait.
-func round(q *Queue, now time.Time) {
+// serveOne offers, grants and ends one item while 20 others wait.
+func serveOne(q *Queue, now time.Time) {
 	ticket, _ := q.Offer(now, Item{Class: Booking, Deadline: now.Add(time.Second)})
 	q.Next(now)
 	q.Done(now, ticket, true)
 	q.Cancel(ticket)
 }
 
-func loaded() *Queue {
-	q := one()
+func loadedQueue() *Queue {
+	q := singleSlotQueue()
 	for i := range 21 {
-		q.Offer(epoch, Item{Deadline: after(1000 + i)})
+		q.Offer(epoch, Item{Deadline: atMillis(1000 + i)})
 	}
 	q.Next(epoch)
 	return q
@@ -322,26 +321,26 @@
 
 func TestQueueAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	q := loaded()
-	round(q, epoch)
-	is.Equal(testing.AllocsPerRun(100, func() { round(q, epoch) }), 0.0)
-	g := &Gate{Queue: *one(), Now: func() time.Time { return epoch }}
+	q := loadedQueue()
+	serveOne(q, epoch)
+	is.Equal(testing.AllocsPerRun(100, func() { serveOne(q, epoch) }), 0.0)
+	g := &Gate{Queue: *singleSlotQueue(), Now: func() time.Time { return epoch }}
 	ctx := context.Background()
 	is.Equal(testing.AllocsPerRun(100, func() {
-		ticket, _ := g.Acquire(ctx, Item{Deadline: after(500)})
+		ticket, _ := g.Acquire(ctx, Item{Deadline: atMillis(500)})
 		g.Release(ticket, true)
 	}), 0.0)
 }
 
 func BenchmarkOffer250Waiting(b *testing.B) {
-	q := one()
+	q := singleSlotQueue()
 	for i := range 251 {
-		q.Offer(epoch, Item{Tenant: uint16(i % 2), Deadline: after(10000 + i)})
+		q.Offer(epoch, Item{Tenant: uint16(i % 2), Deadline: atMillis(10000 + i)})
 	}
 	q.Next(epoch)
 	b.ReportAllocs()
 	for b.Loop() {
-		round(q, epoch)
+		serveOne(q, epoch)
 	}
 }
 
@@ -350,7 +349,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if ticket, _ := g.Acquire(b.Context(), Item{Deadline: after(1000)}); ticket != 0 {
+			if ticket, _ := g.Acquire(b.Context(), Item{Deadline: atMillis(1000)}); ticket != 0 {
 				g.Release(ticket, true)
 			}
 		}
@@ -358,9 +357,9 @@
 }
 
 func BenchmarkOffer20Waiting(b *testing.B) {
-	q := loaded()
+	q := loadedQueue()
 	b.ReportAllocs()
 	for b.Loop() {
-		round(q, epoch)
+		serveOne(q, epoch)
 	}
 }
--- a/limiter/shares_test.go
+++ b/limiter/shares_test.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	up       = "10.0.0.1:5432"
-	smallCap = 4
+	upstreamAddress = "10.0.0.1:5432"
+	connectionLimit = 4
 )
 
-// fault names a broken variant of the protocol that the search must catch.
+// fault selects a broken variant of the protocol that the search must detect.
 type fault int
 
 const (
-	sound         fault = iota
-	silenceIsGone       // a member that doesn't answer is taken for gone
-	confirmEarly        // a view is confirmed before its surplus is closed
-	dropViews           // the record keeps only the newest view
-	growAtOnce          // the newest view alone counts
-	retireEarly         // a member retires views before closing its own surplus
+	correct              fault = iota
+	silenceIsEnd               // a member that does not answer is taken to have ended
+	confirmBeforeClosing       // a view is confirmed before the surplus connections are closed
+	keepNewestOnly             // the record keeps only the newest view
+	growImmediately            // only the newest view counts
+	retireBeforeClosing        // a member retires views before closing its own surplus
 )
 
 // scope bounds a search.
 type scope struct {
-	deaths int          // members that may end
-	sets   [][][]Member // for each change after the first view, the members it may lead to
-	cold   bool         // nobody has read the first view yet
+	maxDeaths       int          // maximum number of members that end
+	memberSets      [][][]Member // for each change after the first view, the members it may lead to
+	firstViewUnread bool         // no member has read the first view yet
 }
 
-// fleet is one state of the search: three members, the platform's record with
-// its history, and what each has confirmed. Messages need no state of their own:
-// a confirmation may arrive at any moment after it was sent, or never.
+// fleet is one state of the search: three members, the platform's record with its
+// history, and what each member has confirmed. Messages need no state of their own: a
+// confirmation may arrive at any moment after it was sent, or never.
 type fleet struct {
 	members [3]Shares
 	open    [3]int
@@ -44,7 +44,7 @@
 	scope   *scope
 }
 
-// explorer holds what a search reuses from state to state.
+// explorer holds the buffers that a search reuses from state to state.
 type explorer struct {
 	seen    map[string]struct{}
 	queue   []fleet
@@ -62,7 +62,7 @@
 	e.queue = append(e.queue, e.scratch.clone())
 }
 
-// step visits the state that change makes of f.
+// step visits the state that change leads to from f.
 func (e *explorer) step(f *fleet, change func(*fleet)) {
 	own := e.scratch.members
 	e.scratch = *f
@@ -77,17 +77,17 @@
 func member(i int) Member { return Member{Name: string(rune('a' + i))} }
 
 func newFleet(sc *scope) fleet {
-	f := fleet{scope: sc, history: []Record{{Views: []View{{Seq: 1, Limit: smallCap, Members: []Member{member(0), member(1)}}}}}}
+	f := fleet{scope: sc, history: []Record{{Views: []View{{Seq: 1, Limit: connectionLimit, Members: []Member{member(0), member(1)}}}}}}
 	for i := range f.members {
 		f.members[i].Self = member(i)
 	}
 	for i := range ab {
-		if sc.cold {
+		if sc.firstViewUnread {
 			break
 		}
 		f.members[i].ReceiveRecord(f.history[0])
-		f.open[i] = f.members[i].Allowed(up)
-		f.confirm(i, sound)
+		f.open[i] = f.members[i].Allowed(upstreamAddress)
+		f.confirm(i, correct)
 	}
 	return f
 }
@@ -101,7 +101,8 @@
 	return n
 }
 
-// key tells states apart. What a dead member knew is of no matter.
+// key encodes the state for comparison. What a dead member knew is left out, as it has
+// no effect.
 func (f *fleet) key(b []byte) []byte {
 	for i := range f.members {
 		m := &f.members[i]
@@ -112,7 +113,7 @@
 		b = append(b, byte(m.record.LastSeq()), byte(m.base), byte(f.open[i]), byte(f.sent[i]))
 		for _, p := range m.peers {
 			b = append(b, p.member.Name[0], byte(p.seq))
-			if p.gone {
+			if p.ended {
 				b = append(b, 'g')
 			}
 		}
@@ -126,7 +127,7 @@
 	return b
 }
 
-func (f *fleet) deaths() (n int) {
+func (f *fleet) deadCount() (n int) {
 	for _, dead := range f.dead {
 		if dead {
 			n++
@@ -135,18 +136,18 @@
 	return n
 }
 
-func (f *fleet) total() int { return f.open[0] + f.open[1] + f.open[2] }
+func (f *fleet) openTotal() int { return f.open[0] + f.open[1] + f.open[2] }
 
 func (f *fleet) allowed(i int, broken fault) int {
 	m := &f.members[i]
-	if views := m.record.Views; broken == growAtOnce && len(views) > 0 {
-		return views[len(views)-1].Share(up, m.Self)
+	if views := m.record.Views; broken == growImmediately && len(views) > 0 {
+		return views[len(views)-1].Share(upstreamAddress, m.Self)
 	}
-	return m.Allowed(up)
+	return m.Allowed(upstreamAddress)
 }
 
-// steps visits every state that one event leads to. Events that change
-// nothing are left out.
+// steps visits every state that one event leads to. Events that change nothing are left
+// out.
 func (f *fleet) steps(broken fault, e *explorer) {
 	for i := range f.members {
 		if f.dead[i] {
@@ -164,7 +165,7 @@
 		if own := f.members[i].peer(m.Self).seq; own < m.record.LastSeq() {
 			e.step(f, func(n *fleet) { n.confirm(i, broken) })
 		}
-		if f.deaths() < f.scope.deaths {
+		if f.deadCount() < f.scope.maxDeaths {
 			e.step(f, func(n *fleet) { n.dead[i], n.open[i] = true, 0 })
 		}
 		f.messages(i, broken, e)
@@ -172,21 +173,21 @@
 	}
 }
 
-// confirm lets member i tell the others which view it keeps to.
+// confirm lets member i confirm to the others the view that it keeps to.
 func (f *fleet) confirm(i int, broken fault) {
 	m := &f.members[i]
 	open := f.open[i]
-	if broken == confirmEarly {
+	if broken == confirmBeforeClosing {
 		open = 0
 	}
-	f.sent[i] = m.Confirm(map[string]int{up: open})
-	if broken == retireEarly {
+	f.sent[i] = m.Confirm(map[string]int{upstreamAddress: open})
+	if broken == retireBeforeClosing {
 		m.peer(m.Self).seq = m.record.LastSeq()
 		m.retire()
 	}
 }
 
-// messages covers what member i may hear next.
+// messages covers the messages that member i may receive next.
 func (f *fleet) messages(i int, broken fault, e *explorer) {
 	for j := range f.members {
 		if j == i {
@@ -196,43 +197,43 @@
 		if f.sent[j] > p.seq {
 			e.step(f, func(n *fleet) { n.members[i].ReceiveConfirmation(member(j), n.sent[j]) })
 		}
-		if !p.gone && (f.dead[j] || broken == silenceIsGone) {
+		if !p.ended && (f.dead[j] || broken == silenceIsEnd) {
 			e.step(f, func(n *fleet) { n.members[i].MarkEnded(member(j)) })
 		}
 	}
 }
 
-// proposals covers a change of members by each member that has seen the newest
-// record; the conditional update refuses all others.
+// proposals covers a change of members by each member that has seen the newest record;
+// the conditional update refuses all others.
 func (f *fleet) proposals(i int, broken fault, e *explorer) {
 	last := f.history[len(f.history)-1]
-	if f.members[i].record.LastSeq() != last.LastSeq() || len(f.history) > len(f.scope.sets) {
+	if f.members[i].record.LastSeq() != last.LastSeq() || len(f.history) > len(f.scope.memberSets) {
 		return
 	}
-	for _, set := range f.scope.sets[len(f.history)-1] {
-		next, ok := f.members[i].Propose(smallCap, set)
+	for _, set := range f.scope.memberSets[len(f.history)-1] {
+		next, ok := f.members[i].Propose(connectionLimit, set)
 		if !ok {
 			continue
 		}
-		if broken == dropViews {
+		if broken == keepNewestOnly {
 			next.Views = next.Views[len(next.Views)-1:]
 		}
 		e.step(f, func(n *fleet) { n.history = append(n.history, next) })
 	}
 }
 
-// search visits every reachable state and returns how many there are, and the
-// greatest sum of open connections. It stops at a sum above the limit.
-func search(sc *scope, broken fault) (states, most int) {
+// search visits every reachable state and returns the number of states and the highest
+// number of open connections. It stops once that is above the limit.
+func search(sc *scope, broken fault) (states, maxOpen int) {
 	e := &explorer{seen: make(map[string]struct{}), scratch: newFleet(sc)}
 	e.visit()
-	for len(e.queue) > 0 && most <= smallCap {
+	for len(e.queue) > 0 && maxOpen <= connectionLimit {
 		f := e.queue[len(e.queue)-1]
 		e.queue = e.queue[:len(e.queue)-1]
-		most = max(most, f.total())
+		maxOpen = max(maxOpen, f.openTotal())
 		f.steps(broken, e)
 	}
-	return len(e.seen), most
+	return len(e.seen), maxOpen
 }
 
 var (
@@ -241,45 +242,45 @@
 	abc = []Member{member(0), member(1), member(2)}
 )
 
-// exhaustive widens the search to all changes and deaths at once: some 5.5
-// million states, two minutes.
+// exhaustive extends the search to all changes and deaths at once: about 5.5 million
+// states, two minutes.
 var exhaustive = flag.Bool("exhaustive", false, "search the whole space of the shares")
 
-// Symptom: an upstream refuses connections although every proxy keeps its share.
-// Sequence: members come, go, pause and die in any order, read old records, and
-// their messages are lost or late; every interleaving is visited.
-// Cause: a member grows before another has shrunk.
-func TestSharesNeverPassTheLimit(t *testing.T) {
+// Guards against a member that grows before another has shrunk, so that an upstream
+// refuses connections although every proxy keeps to its share. Members join, leave,
+// pause and die in any order and read old records; their messages are lost or delayed.
+// Every interleaving is visited.
+func TestSharesNeverExceedLimit(t *testing.T) {
 	scopes := map[string]scope{
-		"replaced, then joined": {sets: [][][]Member{{bc}, {abc}}},
-		"joined, then one goes": {sets: [][][]Member{{abc}, {ab}}},
-		"one dies":              {deaths: 1, sets: [][][]Member{{bc, abc}}},
+		"replaced, then joined": {memberSets: [][][]Member{{bc}, {abc}}},
+		"joined, then one goes": {memberSets: [][][]Member{{abc}, {ab}}},
+		"one dies":              {maxDeaths: 1, memberSets: [][][]Member{{bc, abc}}},
 	}
 	if *exhaustive {
-		scopes = map[string]scope{"all": {deaths: 1, cold: true, sets: [][][]Member{{ab, bc, abc}, {ab, bc, abc}}}}
+		scopes = map[string]scope{"all": {maxDeaths: 1, firstViewUnread: true, memberSets: [][][]Member{{ab, bc, abc}, {ab, bc, abc}}}}
 	}
 	for name, sc := range scopes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, most := search(&sc, sound)
-			t.Logf("%d states, at most %d of %d connections", states, most, smallCap)
-			is.New(t).Equal(most, smallCap) // reached, and not passed
+			states, maxOpen := search(&sc, correct)
+			t.Logf("%d states, at most %d of %d connections", states, maxOpen, connectionLimit)
+			is.New(t).Equal(maxOpen, connectionLimit) // reached but not exceeded
 		})
 	}
 }
 
-// Symptom: a proxy that joined never gets its share, or the shares of one that
-// left stay unused. Sequence: c joins a and b, then a is proven gone; every
-// message arrives. Cause: a view that is never retired.
-func TestSharesSettle(t *testing.T) {
+// Guards against a view that is never retired: a proxy that joined would never get its
+// share, or the shares of one that left would stay unused. c joins a and b, then a is
+// proven to have ended; every message arrives.
+func TestSharesConverge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(&scope{})
 	exchange := func() {
 		for range 4 {
 			for i := range f.members {
 				f.members[i].ReceiveRecord(f.history[len(f.history)-1])
-				f.open[i] = f.members[i].Allowed(up)
-				f.confirm(i, sound)
+				f.open[i] = f.members[i].Allowed(upstreamAddress)
+				f.confirm(i, correct)
 				for j := range f.members {
 					f.members[j].ReceiveConfirmation(member(i), f.sent[i])
 				}
@@ -287,11 +288,11 @@
 		}
 	}
 	change := func(by int, set []Member) {
-		next, ok := f.members[by].Propose(smallCap, set)
+		next, ok := f.members[by].Propose(connectionLimit, set)
 		is.True(ok)
 		f.history = append(f.history, next)
 		exchange()
-		is.Equal(f.total(), smallCap) // all of it is in use again
+		is.Equal(f.openTotal(), connectionLimit) // all of it is in use again
 		is.True(f.members[by].Converged())
 	}
 	exchange()
@@ -301,26 +302,26 @@
 		f.members[i].MarkEnded(member(0))
 	}
 	f.dead[0] = true
-	_, again := f.members[1].Propose(smallCap, abc)
+	_, again := f.members[1].Propose(connectionLimit, abc)
 	is.True(!again) // no change, no write
-	next, _ := f.members[1].Propose(smallCap, bc)
-	is.Equal(len(next.Views), 2) // the view before the last is retired, and dropped
+	next, _ := f.members[1].Propose(connectionLimit, bc)
+	is.Equal(len(next.Views), 2) // the view before the last is retired and dropped
 	change(1, bc)
 	is.Equal(f.open[0], 0)
 }
 
 func TestSearchCatchesBrokenVariants(t *testing.T) {
 	for broken, name := range map[fault]string{
-		silenceIsGone: "silence is taken for gone",
-		confirmEarly:  "confirmed before closing",
-		dropViews:     "the record keeps only the newest view",
-		growAtOnce:    "growing at once",
-		retireEarly:   "retiring before closing",
+		silenceIsEnd:         "silence is taken as proof of the end",
+		confirmBeforeClosing: "confirmed before closing",
+		keepNewestOnly:       "the record keeps only the newest view",
+		growImmediately:      "growing immediately",
+		retireBeforeClosing:  "retiring before closing",
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, most := search(&scope{sets: [][][]Member{{bc, abc}, {bc, abc}}}, broken)
-			t.Logf("caught after %d states", states)
-			is.New(t).True(most > smallCap)
+			states, maxOpen := search(&scope{memberSets: [][][]Member{{bc, abc}, {bc, abc}}}, broken)
+			t.Logf("detected after %d states", states)
+			is.New(t).True(maxOpen > connectionLimit)
 		})
 	}
 }
--- a/limiter/window.go
+++ b/limiter/window.go
@@ -4,45 +4,45 @@
 
 // Defaults of a window.
 const (
-	DefaultLeast  = 1
-	DefaultMost   = 16
-	windowSamples = 16  // samples between two changes
-	growBelow     = 1.2 // grow while the mean service time is below this many times the least
-	shrinkAbove   = 1.5 // shrink when it is above this many times
-	shrinkTo      = 0.8
-	forget        = 2048 // means until a higher one is believed
+	DefaultMinWindow = 1
+	DefaultMaxWindow = 16
+	windowSamples    = 16  // samples per adjustment
+	growThreshold    = 1.2 // grow while the mean service time is below this multiple of the minimum mean
+	shrinkThreshold  = 1.5 // shrink while it is above this multiple
+	shrinkFactor     = 0.8
+	minMeanRise      = 2048 // each mean above the minimum raises it by 1/minMeanRise of the difference
 )
 
-// Window bounds how many requests a proxy has at an upstream at a time. The
-// upstream's slots are shared with all other proxies, whose number of requests
-// nobody knows, so the bound follows what the service time tells: waiting inside
-// the upstream shows as a mean above the least mean seen. It grows by one while
-// the mean stays near the least and all of it is in use, and shrinks by a fifth
-// when it doesn't.
+// Window bounds how many requests a proxy has at an upstream at a time. The upstream's
+// slots are shared with all other proxies, and how many requests those have is not
+// known, so the bound follows the service time: queueing inside the upstream shows as a
+// mean above the lowest mean seen. The bound grows by one while the mean stays near the
+// minimum and the whole window is in use, and shrinks by a fifth when the mean is well
+// above it.
 //
-// Without it, what has been sent waits in the upstream in the order of arrival:
-// deadlines and classes no longer count, and what is sent can't be refused.
+// Without the bound, requests would wait inside the upstream in the order of arrival,
+// where deadlines and classes do not count and nothing that was sent can be refused.
 //
-// The zero Window is ready for use. Least equal to Most gives a fixed bound.
+// The zero Window is ready for use. Min equal to Max gives a fixed bound.
 type Window struct {
-	Min   int // smallest bound
-	Max   int // greatest bound
-	Fixed bool
+	Min   int  // lower limit of the bound; zero means DefaultMinWindow
+	Max   int  // upper limit of the bound; zero means DefaultMaxWindow
+	Fixed bool // keep the bound at Max
 
-	limit float64
-	means [classCount]leastMean
-	count int
-	over  float64 // sum of sample / least mean
-	full  int     // samples taken while all of the window was in use
+	limit     float64
+	means     [classCount]minMean
+	samples   int
+	ratioSum  float64 // sum of sample / minimum mean
+	fullCount int     // samples taken while the whole window was in use
 }
 
-// leastMean follows the least mean service time. It rises again only slowly, by
-// a small part of each mean above it: an upstream that got slower for good is
-// believed in the end, and a long overload is not taken for the normal state.
-// A minimum over the last half minute, say, would forget the quiet times during
-// a long overload; the window would then grow until it bounds nothing.
-type leastMean struct {
-	least float64
+// minMean tracks the minimum mean service time. It rises only slowly, by a small part
+// of the difference to each higher mean: an upstream that has become slower for good is
+// accepted in the end, while a long overload is not taken for the normal state. A
+// minimum over a sliding time span such as 30 s would forget the time before a long
+// overload, and the window would grow until it bounds nothing.
+type minMean struct {
+	value float64
 	sum   float64
 	count int
 }
@@ -50,69 +50,69 @@
 // Limit returns the current bound.
 func (w *Window) Limit() int {
 	if w.Fixed {
-		return w.most()
+		return w.maxLimit()
 	}
-	return max(int(w.limit), w.least())
+	return max(int(w.limit), w.minLimit())
 }
 
-func (w *Window) least() int {
+func (w *Window) minLimit() int {
 	if w.Min == 0 {
-		return DefaultLeast
+		return DefaultMinWindow
 	}
 	return w.Min
 }
 
-func (w *Window) most() int {
+func (w *Window) maxLimit() int {
 	if w.Max == 0 {
-		return DefaultMost
+		return DefaultMaxWindow
 	}
 	return w.Max
 }
 
-// Observe takes the service time of a request that was answered, and whether
-// all of the window was in use when it ended.
-func (w *Window) Observe(c Class, took time.Duration, full bool) {
-	least := w.means[c].add(float64(took))
-	if w.Fixed || least == 0 {
+// Observe takes the service time of an answered request, and whether the whole window
+// was in use when it ended.
+func (w *Window) Observe(c Class, elapsed time.Duration, full bool) {
+	lowest := w.means[c].add(float64(elapsed))
+	if w.Fixed || lowest == 0 {
 		return
 	}
-	w.count++
-	w.over += float64(took) / least
+	w.samples++
+	w.ratioSum += float64(elapsed) / lowest
 	if full {
-		w.full++
+		w.fullCount++
 	}
-	if w.count < windowSamples {
+	if w.samples < windowSamples {
 		return
 	}
-	ratio := w.over / float64(w.count)
-	busy := w.full > w.count/2
-	w.count, w.over, w.full = 0, 0, 0
+	ratio := w.ratioSum / float64(w.samples)
+	busy := w.fullCount > w.samples/2
+	w.samples, w.ratioSum, w.fullCount = 0, 0, 0
 	w.adjust(ratio, busy)
 }
 
 func (w *Window) adjust(ratio float64, busy bool) {
-	w.limit = max(w.limit, float64(w.least()))
+	w.limit = max(w.limit, float64(w.minLimit()))
 	switch {
-	case ratio > shrinkAbove:
-		w.limit = max(w.limit*shrinkTo, float64(w.least()))
-	case ratio < growBelow && busy:
-		w.limit = min(w.limit+1, float64(w.most()))
+	case ratio > shrinkThreshold:
+		w.limit = max(w.limit*shrinkFactor, float64(w.minLimit()))
+	case ratio < growThreshold && busy:
+		w.limit = min(w.limit+1, float64(w.maxLimit()))
 	}
 }
 
-// add takes a sample and returns the least mean, zero before there is one.
-func (l *leastMean) add(took float64) float64 {
-	l.sum += took
+// add takes a sample and returns the minimum mean, zero before there is one.
+func (l *minMean) add(elapsed float64) float64 {
+	l.sum += elapsed
 	l.count++
 	if l.count < windowSamples {
-		return l.least
+		return l.value
 	}
 	mean := l.sum / windowSamples
 	l.sum, l.count = 0, 0
-	if l.least == 0 || mean < l.least {
-		l.least = mean
+	if l.value == 0 || mean < l.value {
+		l.value = mean
 	} else {
-		l.least += (mean - l.least) / forget
+		l.value += (mean - l.value) / minMeanRise
 	}
-	return l.least
+	return l.value
 }
