--- a/pooler/doc.go
+++ b/pooler/doc.go
@@ -1,15 +1,14 @@
-// Package pooler keeps open connections of any kind warm and gives each to one
-// owner at a time.
+// Package pooler implements a pool of open connections of any kind, each used by one
+// caller at a time.
 //
-// A pool has a limit that may change while it is used. Who asks when the limit
-// is reached waits in line, first come first served, until a connection comes
-// back or the context ends. The pool does no I/O and has no clock and no
-// goroutine of its own: Dial and Close are seams, and opening runs in the
-// goroutine of the one who asks.
+// The limit of a pool may change while it is in use. Callers that find the limit
+// reached wait in the order of their arrival until a connection is returned or their
+// context ends. The pool does no I/O itself and has no clock and no goroutine of its own:
+// Dial and Close are supplied by the user, and dialing runs in the goroutine of the caller.
 //
-// Connections may belong to owners, such as the workspace that an upstream was told
-// when they were opened. GetFor and TryGetFor give out those of one owner only, Get and
-// TryGet any. The limit counts all of them together.
+// Connections may belong to owners, such as the workspace that was sent to the upstream
+// when the connection was opened. GetFor and TryGetFor return only connections of one
+// owner, Get and TryGet those of any. The limit counts all of them together.
 //
 // # Usage
 //
@@ -24,5 +23,5 @@
 //		pool.Discard(conn)
 //	}
 //
-// Every connection from Get goes back by exactly one Put or Discard.
+// Every connection from Get must be returned by exactly one Put or Discard.
 package pooler
--- a/pooler/pool.go
+++ b/pooler/pool.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// What Get fails with, besides the errors of Dial.
+// Errors of Get, besides the errors of Dial.
 var (
-	// ErrClosed reports a pool that was closed.
+	// ErrClosed reports that the pool is closed.
 	ErrClosed = errors.New("pooler: closed")
 	// ErrWaitTimeout reports that the context ended while all connections were in use.
 	ErrWaitTimeout = errors.New("pooler: no connection came back in time")
@@ -19,65 +19,66 @@
 // Pool is a set of connections of type C. Set the exported fields before the
 // first use and change Limit only by SetLimit.
 type Pool[C any] struct {
-	// Limit is the greatest number of connections open at once; 0 allows none.
+	// Limit is the maximum number of open connections; 0 allows none.
 	Limit int
-	// Dial opens a connection for an owner. It runs without the pool's lock.
+	// Dial opens a connection for an owner. It is called without the pool's lock.
 	Dial func(ctx context.Context, owner string) (C, error)
-	// Close ends a connection. It runs without the pool's lock.
+	// Close closes a connection. It is called without the pool's lock.
 	Close func(C)
-	// Owner, when set, tells whom a connection was opened for; without it all are of
-	// the owner "".
+	// Owner, when set, returns the owner that a connection was opened for. Without it
+	// all connections have the owner "".
 	Owner func(C) string
-	// RequestPermit, when set, spreads the opening of connections: it is called once for
-	// each that somebody waits for, without the pool's lock, and has to call
-	// Permit once, now or later. Warm isn't paced.
+	// RequestPermit, when set, rate-limits the opening of connections. It is called
+	// once for each connection that a caller waits for, without the pool's lock, and
+	// must lead to one call of Permit, now or later. Warm needs no permits.
 	RequestPermit func()
-	// ZeroLimitErr, when set, is what Get fails with while the limit is 0, also for those
-	// who wait as it becomes 0. Without it they wait until it is raised.
+	// ZeroLimitErr, when set, is the error of Get while the limit is 0, also for
+	// callers that already wait when it becomes 0. Without it they wait until the limit
+	// is raised.
 	ZeroLimitErr error
 
-	mu     sync.Mutex
-	idle   []warm[C] // the one that was used last is at the end
-	open   int
-	spare  int // the fewest that were idle since the last Shrink
-	asked  int // permits asked for that have not come
-	line   []*waiter[C]
-	closed bool
+	mu             sync.Mutex
+	idle           []idleConn[C] // the most recently used one is last
+	open           int
+	minIdle        int // the lowest number of idle connections since the last Shrink
+	pendingPermits int // permits requested and not yet granted
+	waiters        []*waiter[C]
+	closed         bool
 }
 
-// warm is a connection that nobody uses, and whom it was opened for.
-type warm[C any] struct {
+// idleConn is a connection that is not in use, and its owner.
+type idleConn[C any] struct {
 	conn  C
 	owner string
 }
 
-// request says which connections will do.
+// request selects the connections that a caller accepts.
 type request struct {
 	owner string
-	any   bool // those of every owner
+	any   bool // of every owner
 }
 
-func (r request) takes(owner string) bool { return r.any || r.owner == owner }
+func (r request) matches(owner string) bool { return r.any || r.owner == owner }
 
-// waiter is one who waits in line. Its channel has room for one grant.
+// waiter is a caller that waits. Its channel has room for one grant.
 type waiter[C any] struct {
 	request
-	passed  int // connections that went to others behind it in line
-	granted chan grant[C]
+	bypassed int // connections that went to callers behind it
+	granted  chan grant[C]
 }
 
-// grant is a warm connection, or the leave to dial one.
+// grant is an open connection or, if established is false, the right to dial one.
 type grant[C any] struct {
-	conn C
-	warm bool
-	err  error
+	conn        C
+	established bool
+	err         error
 }
 
-// mostPassed is how many connections of other owners may go to those behind the first
-// in line before one is closed to make room for it.
-const mostPassed = 3
+// maxBypassed is how many connections of other owners may go to callers behind the
+// first waiter before one is closed to make room for it.
+const maxBypassed = 3
 
-// Stats counts a pool's connections and those who wait for one.
+// Stats holds a pool's limit and the numbers of its connections and waiting callers.
 type Stats struct {
 	Limit   int
 	Open    int
@@ -85,43 +86,43 @@
 	Waiting int
 }
 
-// Get returns a connection that belongs to the one who asks until Put or
-// Discard, whomever it was opened for. It takes a warm one, opens one within the
-// limit, or waits until ctx ends. The error is that of ctx or of Dial, or ErrClosed.
+// Get returns a connection of any owner, for use by the caller alone until Put or
+// Discard. It takes an idle one, opens one within the limit, or waits until ctx ends.
+// The error is that of ctx or of Dial, ErrClosed or ZeroLimitErr.
 func (p *Pool[C]) Get(ctx context.Context) (C, error) { return p.get(ctx, request{any: true}) }
 
-// GetFor is Get for a connection that was opened for an owner and is used for no
-// other. Where the limit is reached, the connection of another owner that has been
-// idle for longest is closed to make room.
+// GetFor is Get for a connection that was opened for the owner and is used for no
+// other. If the limit is reached, the connection of another owner that has been idle
+// longest is closed to make room.
 func (p *Pool[C]) GetFor(ctx context.Context, owner string) (C, error) {
 	return p.get(ctx, request{owner: owner})
 }
 
 func (p *Pool[C]) get(ctx context.Context, r request) (C, error) {
-	g, w, o := p.ask(r)
-	p.settle(o)
+	g, w, actions := p.acquire(r)
+	p.perform(actions)
 	if w != nil {
 		var err error
 		if g, err = p.wait(ctx, w); err != nil {
-			var none C
-			return none, err
+			var zero C
+			return zero, err
 		}
 	}
-	return p.use(ctx, r.owner, g)
+	return p.connect(ctx, r.owner, g)
 }
 
-// TryGet returns a warm connection of any owner if there is one, without waiting or
+// TryGet returns an idle connection of any owner if there is one, without waiting or
 // dialing.
 func (p *Pool[C]) TryGet() (C, bool) { return p.try(request{any: true}) }
 
 // TryGetFor is TryGet for the connections of one owner.
 func (p *Pool[C]) TryGetFor(owner string) (C, bool) { return p.try(request{owner: owner}) }
 
-// HasIdle reports whether a connection of an owner is idle.
+// HasIdle reports whether a connection of the owner is idle.
 func (p *Pool[C]) HasIdle(owner string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.find(request{owner: owner}) >= 0
+	return p.findIdle(request{owner: owner}) >= 0
 }
 
 func (p *Pool[C]) try(r request) (c C, ok bool) {
@@ -130,70 +131,70 @@
 	if p.closed || p.open > p.Limit {
 		return c, false
 	}
-	return p.pop(r)
+	return p.popIdle(r)
 }
 
-// outcome is what is to be done once the pool's lock is released, in this order: who
-// gets the place of a connection opens another one only when that is closed.
-type outcome[C any] struct {
-	closed  []C          // connections to close
-	granted []*waiter[C] // who may open one
-	wanted  int          // permits to ask for
+// deferred holds the actions to perform after the pool's lock is released, in this
+// order: a caller that replaces a connection dials only after that one is closed.
+type deferred[C any] struct {
+	toClose []C          // connections to close
+	toDial  []*waiter[C] // waiters that may dial
+	permits int          // permits to request
 }
 
-func (p *Pool[C]) settle(o outcome[C]) {
-	for _, c := range o.closed {
+func (p *Pool[C]) perform(actions deferred[C]) {
+	for _, c := range actions.toClose {
 		p.Close(c)
 	}
-	for _, w := range o.granted {
+	for _, w := range actions.toDial {
 		w.granted <- grant[C]{}
 	}
-	for range o.wanted {
+	for range actions.permits {
 		p.RequestPermit()
 	}
 }
 
-// ask takes a grant at once or joins the line.
-func (p *Pool[C]) ask(r request) (grant[C], *waiter[C], outcome[C]) {
+// acquire returns a grant at once or adds a waiter.
+func (p *Pool[C]) acquire(r request) (grant[C], *waiter[C], deferred[C]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return grant[C]{err: ErrClosed}, nil, outcome[C]{}
+		return grant[C]{err: ErrClosed}, nil, deferred[C]{}
 	}
 	if p.open <= p.Limit {
-		if c, ok := p.pop(r); ok {
-			return grant[C]{conn: c, warm: true}, nil, outcome[C]{}
+		if c, ok := p.popIdle(r); ok {
+			return grant[C]{conn: c, established: true}, nil, deferred[C]{}
 		}
 	}
-	if p.none() {
-		return grant[C]{err: p.ZeroLimitErr}, nil, outcome[C]{}
+	if p.failsAtZeroLimit() {
+		return grant[C]{err: p.ZeroLimitErr}, nil, deferred[C]{}
 	}
 	w := &waiter[C]{request: r, granted: make(chan grant[C], 1)}
-	p.line = append(p.line, w)
-	return grant[C]{}, w, p.admit()
+	p.waiters = append(p.waiters, w)
+	return grant[C]{}, w, p.admitWaiters()
 }
 
-// none reports whether who asks for a connection is told so at once.
-func (p *Pool[C]) none() bool { return p.Limit == 0 && p.ZeroLimitErr != nil }
+// failsAtZeroLimit reports whether requests fail with ZeroLimitErr.
+func (p *Pool[C]) failsAtZeroLimit() bool { return p.Limit == 0 && p.ZeroLimitErr != nil }
 
-// Permit lets the first in line open a connection within the limit, and reports
-// whether somebody does. A permit that nobody needs any more is lost.
+// Permit lets the first waiter open a connection within the limit and reports whether
+// there was one that could. A permit that no caller needs any more is lost.
 func (p *Pool[C]) Permit() bool {
 	p.mu.Lock()
-	p.asked--
-	var o outcome[C]
-	permitted := len(p.line) > 0 && p.room(&o)
+	p.pendingPermits--
+	var actions deferred[C]
+	permitted := len(p.waiters) > 0 && p.makeRoom(&actions)
 	if permitted {
-		o.granted = append(o.granted, p.next(0))
+		actions.toDial = append(actions.toDial, p.removeWaiter(0))
 	}
 	p.mu.Unlock()
-	p.settle(o)
+	p.perform(actions)
 	return permitted
 }
 
-// room takes a place for one more connection, that of the connection which has been
-// idle for longest if there is no other, and reports whether there is one.
-func (p *Pool[C]) room(o *outcome[C]) bool {
+// makeRoom reserves a place for one more connection and reports whether there is one.
+// At the limit it takes the place of the connection that has been idle longest.
+func (p *Pool[C]) makeRoom(actions *deferred[C]) bool {
 	switch {
 	case p.open < p.Limit:
 		p.open++
@@ -201,71 +202,71 @@
 	case p.open > p.Limit || len(p.idle) == 0:
 		return false
 	}
-	o.closed = append(o.closed, p.take(0))
+	actions.toClose = append(actions.toClose, p.removeIdle(0))
 	return true
 }
 
-// FailWaiting ends the wait of all who are in line with an error, for instance when it
-// has become known that no connection will come.
+// FailWaiting ends the wait of all waiting callers with an error, for instance when it
+// is known that no connection will become available.
 func (p *Pool[C]) FailWaiting(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuse(err)
+	p.failWaitingLocked(err)
 }
 
-func (p *Pool[C]) refuse(err error) {
-	for len(p.line) > 0 {
-		p.next(0).granted <- grant[C]{err: err}
+func (p *Pool[C]) failWaitingLocked(err error) {
+	for len(p.waiters) > 0 {
+		p.removeWaiter(0).granted <- grant[C]{err: err}
 	}
 }
 
-// find returns the place of the connection that was used last of those that will do,
-// or a negative number.
-func (p *Pool[C]) find(r request) int {
+// findIdle returns the index of the most recently used idle connection that matches, or
+// a negative number.
+func (p *Pool[C]) findIdle(r request) int {
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if r.takes(p.idle[i].owner) {
+		if r.matches(p.idle[i].owner) {
 			return i
 		}
 	}
 	return -1
 }
 
-func (p *Pool[C]) pop(r request) (c C, ok bool) {
-	i := p.find(r)
+func (p *Pool[C]) popIdle(r request) (c C, ok bool) {
+	i := p.findIdle(r)
 	if i < 0 {
 		return c, false
 	}
-	return p.take(i), true
+	return p.removeIdle(i), true
 }
 
-// take takes out one of the idle connections.
-func (p *Pool[C]) take(i int) C {
+// removeIdle removes and returns the idle connection at index i.
+func (p *Pool[C]) removeIdle(i int) C {
 	c := p.idle[i].conn
 	p.idle = slices.Delete(p.idle, i, i+1)
-	p.spare = min(p.spare, len(p.idle))
+	p.minIdle = min(p.minIdle, len(p.idle))
 	return c
 }
 
-// Shrink closes the connections that nobody has needed since the last call, but
-// leaves keep of them open. Called at a steady period it lets go of what a peak
-// of load has opened.
+// Shrink closes the connections that were idle all the time since the last call, but
+// leaves keep connections open. Called at a fixed interval, it closes the connections
+// that a peak of load has opened.
 func (p *Pool[C]) Shrink(keep int) {
 	p.mu.Lock()
-	n := max(0, min(p.spare, p.open-keep, len(p.idle)))
-	cut := connections(p.idle[:n]) // the front of the stack was idle for longest
+	n := max(0, min(p.minIdle, p.open-keep, len(p.idle)))
+	unused := connsOf(p.idle[:n]) // the front was idle longest
 	p.idle = slices.Delete(p.idle, 0, n)
 	p.open -= n
-	p.spare = len(p.idle)
+	p.minIdle = len(p.idle)
 	p.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range unused {
 		p.Close(c)
 	}
 }
 
-func connections[C any](list []warm[C]) []C {
+func connsOf[C any](list []idleConn[C]) []C {
 	out := make([]C, 0, len(list))
-	for _, w := range list {
-		out = append(out, w.conn)
+	for _, entry := range list {
+		out = append(out, entry.conn)
 	}
 	return out
 }
@@ -276,123 +277,125 @@
 		return g, nil
 	case <-ctx.Done():
 	}
-	if p.leave(w) {
+	if p.cancelWait(w) {
 		return grant[C]{}, errors.Mark(errors.Wrap(ctx.Err(), "pooler: wait for a connection"), ErrWaitTimeout)
 	}
-	// A grant was made while ctx ended. Dropping it would lose a connection
-	// for good, so it is taken.
+	// The grant was made while ctx ended. Dropping it would leak a connection,
+	// so it is taken.
 	return <-w.granted, nil
 }
 
-// leave takes w out of the line. It returns false when w has a grant already.
-func (p *Pool[C]) leave(w *waiter[C]) bool {
+// cancelWait removes w from the waiters. It returns false when w already has a grant.
+func (p *Pool[C]) cancelWait(w *waiter[C]) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, o := range p.line {
+	for i, o := range p.waiters {
 		if o == w {
-			p.line = append(p.line[:i], p.line[i+1:]...)
+			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Pool[C]) use(ctx context.Context, owner string, g grant[C]) (C, error) {
-	if g.warm || g.err != nil {
+// connect returns the connection of a grant, which it dials if need be.
+func (p *Pool[C]) connect(ctx context.Context, owner string, g grant[C]) (C, error) {
+	if g.established || g.err != nil {
 		return g.conn, g.err
 	}
 	c, err := p.Dial(ctx, owner)
 	if err != nil {
-		p.drop()
+		p.releasePlace()
 		return c, errors.Wrap(err, "pooler: dial")
 	}
 	return c, nil
 }
 
-// Put gives a connection back to be used again.
+// Put returns a connection for reuse.
 func (p *Pool[C]) Put(c C) {
-	kept, o := p.keep(c)
-	p.settle(o)
-	if !kept {
+	reused, actions := p.reuse(c)
+	p.perform(actions)
+	if !reused {
 		p.Discard(c)
 	}
 }
 
-// keep hands c to one in line or makes it idle. It returns false when the pool is
-// closed or above its limit.
-func (p *Pool[C]) keep(c C) (bool, outcome[C]) {
+// reuse gives c to a waiter or makes it idle. It returns false when the pool is closed
+// or above its limit.
+func (p *Pool[C]) reuse(c C) (bool, deferred[C]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.open > p.Limit {
-		return false, outcome[C]{}
+		return false, deferred[C]{}
 	}
 	owner := ""
 	if p.Owner != nil {
 		owner = p.Owner(c)
 	}
-	if i := p.heir(owner); i >= 0 {
-		p.next(i).granted <- grant[C]{conn: c, warm: true}
-		return true, outcome[C]{}
+	if i := p.nextWaiter(owner); i >= 0 {
+		p.removeWaiter(i).granted <- grant[C]{conn: c, established: true}
+		return true, deferred[C]{}
 	}
-	p.idle = append(p.idle, warm[C]{c, owner})
-	return true, p.admit()
+	p.idle = append(p.idle, idleConn[C]{c, owner})
+	return true, p.admitWaiters()
 }
 
-// heir returns the place in line of who gets a connection that has come back, or a
-// negative number. Opening another one costs the upstream's time, so that the first
-// in line whom it was opened for goes before others, but not for ever.
-func (p *Pool[C]) heir(owner string) int {
-	i := slices.IndexFunc(p.line, func(w *waiter[C]) bool { return w.takes(owner) })
+// nextWaiter returns the index of the waiter that gets a returned connection, or a
+// negative number. Dialing takes the upstream's time, so the first waiter that accepts
+// the connection's owner goes before others, but at most maxBypassed times.
+func (p *Pool[C]) nextWaiter(owner string) int {
+	i := slices.IndexFunc(p.waiters, func(w *waiter[C]) bool { return w.matches(owner) })
 	if i > 0 {
-		if p.line[0].passed >= mostPassed {
+		if p.waiters[0].bypassed >= maxBypassed {
 			return -1
 		}
-		p.line[0].passed++
+		p.waiters[0].bypassed++
 	}
 	return i
 }
 
-// next takes one out of the line.
-func (p *Pool[C]) next(i int) *waiter[C] {
-	w := p.line[i]
-	p.line = slices.Delete(p.line, i, i+1)
+// removeWaiter removes and returns the waiter at index i.
+func (p *Pool[C]) removeWaiter(i int) *waiter[C] {
+	w := p.waiters[i]
+	p.waiters = slices.Delete(p.waiters, i, i+1)
 	return w
 }
 
-// Discard closes a connection that must not be used again and frees its place.
+// Discard closes a connection that must not be reused and frees its place.
 func (p *Pool[C]) Discard(c C) {
 	p.Close(c)
-	p.drop()
+	p.releasePlace()
 }
 
-// drop frees one place and lets those in line dial while there is room.
-func (p *Pool[C]) drop() {
+// releasePlace frees one place and lets waiters dial while there is room.
+func (p *Pool[C]) releasePlace() {
 	p.mu.Lock()
 	p.open--
-	o := p.admit()
+	actions := p.admitWaiters()
 	p.mu.Unlock()
-	p.settle(o)
+	p.perform(actions)
 }
 
-// admit lets those in line open connections within the limit, or asks for permits.
-func (p *Pool[C]) admit() (o outcome[C]) {
+// admitWaiters lets waiters open connections within the limit, or requests permits for
+// them.
+func (p *Pool[C]) admitWaiters() (actions deferred[C]) {
 	if p.RequestPermit != nil {
-		places := max(0, p.Limit-p.open) + len(p.idle)
-		o.wanted = max(0, min(len(p.line), places)-p.asked)
-		p.asked += o.wanted
-		return o
+		room := max(0, p.Limit-p.open) + len(p.idle)
+		actions.permits = max(0, min(len(p.waiters), room)-p.pendingPermits)
+		p.pendingPermits += actions.permits
+		return actions
 	}
-	for len(p.line) > 0 && p.room(&o) {
-		o.granted = append(o.granted, p.next(0))
+	for len(p.waiters) > 0 && p.makeRoom(&actions) {
+		actions.toDial = append(actions.toDial, p.removeWaiter(0))
 	}
-	return o
+	return actions
 }
 
-// Warm opens connections until n are open or the limit is reached, and leaves
-// them idle, so that later owners don't wait for dialing.
+// Warm opens connections until n are open or the limit is reached, and leaves them
+// idle, so that later callers need not wait for dialing.
 func (p *Pool[C]) Warm(ctx context.Context, n int) error {
-	for p.reserve(n) {
-		c, err := p.use(ctx, "", grant[C]{})
+	for p.reservePlace(n) {
+		c, err := p.connect(ctx, "", grant[C]{})
 		if err != nil {
 			return err
 		}
@@ -401,7 +404,8 @@
 	return nil
 }
 
-func (p *Pool[C]) reserve(n int) bool {
+// reservePlace reserves a place if fewer than n connections are open, within the limit.
+func (p *Pool[C]) reservePlace(n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.open >= min(n, p.Limit) {
@@ -411,77 +415,77 @@
 	return true
 }
 
-// SetLimit changes the limit. Idle connections above it are closed at once,
-// those in use when they come back.
+// SetLimit changes the limit. Idle connections above it are closed at once, connections
+// in use when they are returned.
 func (p *Pool[C]) SetLimit(n int) {
 	p.mu.Lock()
 	p.Limit = n
-	if p.none() {
-		p.refuse(p.ZeroLimitErr)
+	if p.failsAtZeroLimit() {
+		p.failWaitingLocked(p.ZeroLimitErr)
 	}
-	cut := p.trim()
-	o := p.admit()
+	excess := p.trimIdle()
+	actions := p.admitWaiters()
 	p.mu.Unlock()
-	o.closed = append(o.closed, cut...)
-	p.settle(o)
+	actions.toClose = append(actions.toClose, excess...)
+	p.perform(actions)
 }
 
-// trim takes out the idle connections above the limit, that of longest rest first.
-func (p *Pool[C]) trim() []C {
-	var cut []C
+// trimIdle removes the idle connections above the limit, longest idle first.
+func (p *Pool[C]) trimIdle() []C {
+	var excess []C
 	for p.open > p.Limit && len(p.idle) > 0 {
-		cut = append(cut, p.take(0))
+		excess = append(excess, p.removeIdle(0))
 		p.open--
 	}
-	return cut
+	return excess
 }
 
-// CloseIdle closes all idle connections, for instance when their upstream is gone.
+// CloseIdle closes all idle connections, for instance when their upstream has failed.
 func (p *Pool[C]) CloseIdle() {
 	p.mu.Lock()
-	idle := connections(p.idle)
+	idle := connsOf(p.idle)
 	p.idle = nil
-	p.spare = 0
+	p.minIdle = 0
 	p.open -= len(idle)
-	o := p.admit()
+	actions := p.admitWaiters()
 	p.mu.Unlock()
-	o.closed = append(o.closed, idle...)
-	p.settle(o)
+	actions.toClose = append(actions.toClose, idle...)
+	p.perform(actions)
 }
 
-// Sweep closes the idle connections that are not alive any more. alive runs with
-// the pool's lock and must not wait.
+// Sweep closes the idle connections for which alive returns false. alive is called with
+// the pool's lock held and must not block.
 func (p *Pool[C]) Sweep(alive func(C) bool) {
 	p.mu.Lock()
 	var dead []C
-	p.idle = slices.DeleteFunc(p.idle, func(w warm[C]) bool {
+	p.idle = slices.DeleteFunc(p.idle, func(w idleConn[C]) bool {
 		if alive(w.conn) {
 			return false
 		}
 		dead = append(dead, w.conn)
 		return true
 	})
-	p.spare = min(p.spare, len(p.idle))
+	p.minIdle = min(p.minIdle, len(p.idle))
 	p.open -= len(dead)
-	o := p.admit()
+	actions := p.admitWaiters()
 	p.mu.Unlock()
-	o.closed = append(o.closed, dead...)
-	p.settle(o)
+	actions.toClose = append(actions.toClose, dead...)
+	p.perform(actions)
 }
 
-// Stop closes the pool: idle connections at once, others when they come back;
-// those in line get ErrClosed.
+// Stop closes the pool: idle connections at once, others when they are returned.
+// Waiting callers get ErrClosed.
 func (p *Pool[C]) Stop() {
 	p.mu.Lock()
 	p.closed = true
-	p.refuse(ErrClosed)
+	p.failWaitingLocked(ErrClosed)
 	p.mu.Unlock()
 	p.CloseIdle()
 }
 
-// Stats returns the pool's counts.
+// Stats returns the current limit and counts.
 func (p *Pool[C]) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Stats{Limit: p.Limit, Open: p.open, Idle: len(p.idle), Waiting: len(p.line)}
+	return Stats{Limit: p.Limit, Open: p.open, Idle: len(p.idle), Waiting: len(p.waiters)}
 }
--- a/pooler/pool_test.go
+++ b/pooler/pool_test.go
@@ -15,13 +15,14 @@
 	"pgregory.net/rapid"
 )
 
-type numbers struct {
+// numberDialer dials connections that are consecutive numbers.
+type numberDialer struct {
 	next   int
 	closed map[int]bool
 	fail   error
 }
 
-func (n *numbers) pool(limit int) *Pool[int] {
+func (n *numberDialer) pool(limit int) *Pool[int] {
 	n.closed = map[int]bool{}
 	return &Pool[int]{
 		Limit: limit,
@@ -33,9 +34,9 @@
 	}
 }
 
-func TestGetReusesWarm(t *testing.T) {
+func TestGetReusesIdleConnection(t *testing.T) {
 	is := is.New(t)
-	n := &numbers{}
+	n := &numberDialer{}
 	p := n.pool(2)
 	is.NoErr(p.Warm(t.Context(), 2))
 	a, err := p.Get(t.Context())
@@ -49,12 +50,12 @@
 	is.Equal(p.Stats(), Stats{Limit: 2, Open: 1, Idle: 1})
 }
 
-// Symptom: a caller waits for ever for a connection. Sequence: the limit is
-// reached and nobody gives one back. Cause: waiting must end with the context.
+// Guards against a caller that waits forever when the limit is reached and no
+// connection is returned: the wait ends with the context.
 func TestGetWaitsUntilDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := (&numbers{}).pool(1)
+		p := (&numberDialer{}).pool(1)
 		c, err := p.Get(t.Context())
 		is.NoErr(err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -67,11 +68,11 @@
 	})
 }
 
-// Symptom: the pool shrinks to nothing over a day. Sequence: dialing fails
-// again and again. Cause: a failed dial must free its place.
+// Guards against failed dials that keep their places: the pool would shrink to nothing
+// over time.
 func TestFailedDialFreesPlace(t *testing.T) {
 	is := is.New(t)
-	n := &numbers{fail: errors.New("refused")}
+	n := &numberDialer{fail: errors.New("refused")}
 	p := n.pool(1)
 	for range 3 {
 		_, err := p.Get(t.Context())
@@ -82,7 +83,7 @@
 
 func TestShrinkAndStop(t *testing.T) {
 	is := is.New(t)
-	n := &numbers{}
+	n := &numberDialer{}
 	p := n.pool(3)
 	is.NoErr(p.Warm(t.Context(), 3))
 	a, err := p.Get(t.Context())
@@ -97,40 +98,40 @@
 	is.True(errors.Is(err, ErrClosed))
 }
 
-// TestOneOwner checks in any order of steps that no connection has two owners,
-// that the limit holds for new ones and that nothing leaks.
-func TestOneOwner(t *testing.T) {
+// TestConnectionHasOneUser checks in random order of operations that no connection is
+// used by two callers, that new connections respect the limit and that nothing leaks.
+func TestConnectionHasOneUser(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &numbers{}
+		n := &numberDialer{}
 		p := n.pool(3)
-		owned := map[int]bool{}
-		done, cancel := context.WithCancel(context.Background())
+		taken := map[int]bool{}
+		ended, cancel := context.WithCancel(context.Background())
 		cancel()
 		take := func() (c int, ok bool) {
-			for c = range owned {
-				delete(owned, c)
+			for c = range taken {
+				delete(taken, c)
 				return c, true
 			}
 			return 0, false
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"get": func(t *rapid.T) {
-				c, err := p.Get(done)
+				c, err := p.Get(ended)
 				if err != nil {
 					return
 				}
-				if owned[c] || n.closed[c] {
-					t.Fatalf("connection %d given twice or after its end", c)
+				if taken[c] || n.closed[c] {
+					t.Fatalf("connection %d returned by the pool while in use or after it was closed", c)
 				}
-				owned[c] = true
+				taken[c] = true
 			},
 			"try": func(t *rapid.T) {
 				c, ok := p.TryGet()
-				if ok && (owned[c] || n.closed[c]) {
-					t.Fatalf("connection %d given twice or after its end", c)
+				if ok && (taken[c] || n.closed[c]) {
+					t.Fatalf("connection %d returned by the pool while in use or after it was closed", c)
 				}
 				if ok {
-					owned[c] = true
+					taken[c] = true
 				}
 			},
 			"sweep": func(*rapid.T) { p.Sweep(func(c int) bool { return c%2 == 0 }) },
@@ -147,24 +148,24 @@
 			"limit": func(t *rapid.T) { p.SetLimit(rapid.IntRange(0, 4).Draw(t, "limit")) },
 			"": func(t *rapid.T) {
 				s := p.Stats()
-				if s.Open != len(owned)+s.Idle || s.Waiting != 0 || s.Idle > s.Limit {
-					t.Fatalf("%+v with %d owned", s, len(owned))
+				if s.Open != len(taken)+s.Idle || s.Waiting != 0 || s.Idle > s.Limit {
+					t.Fatalf("%+v with %d in use", s, len(taken))
 				}
 			},
 		})
 	})
 }
 
-// Symptom: after a failover all connections to the new primary are opened at the
-// same moment. Sequence: several ask at once of an empty pool. Cause: each opened
-// its own.
-func TestPermitsPaceOpening(t *testing.T) {
+// Guards against callers that each dial at once when several of them find the pool
+// empty: after a failover all connections to the new leader would be opened at the same
+// moment.
+func TestPermitsLimitOpening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &numbers{}
+		n := &numberDialer{}
 		p := n.pool(3)
-		var asked atomic.Int64
-		p.RequestPermit = func() { asked.Add(1) }
+		var requested atomic.Int64
+		p.RequestPermit = func() { requested.Add(1) }
 		got := make(chan int)
 		for range 5 {
 			go func() {
@@ -174,31 +175,30 @@
 			}()
 		}
 		synctest.Wait()
-		is.Equal(asked.Load(), int64(3)) // no more than the limit
+		is.Equal(requested.Load(), int64(3)) // at most the limit
 		is.Equal(p.Stats(), Stats{Limit: 3, Waiting: 5})
 		p.Permit()
 		first := <-got
 		is.Equal(p.Stats(), Stats{Limit: 3, Open: 1, Waiting: 4})
 		p.Put(first)
-		is.Equal(<-got, first) // the next in line needs no new one
+		is.Equal(<-got, first) // the next waiter needs no new connection
 		p.Discard(first)
-		is.Equal(asked.Load(), int64(4)) // in place of the one that ended
+		is.Equal(requested.Load(), int64(4)) // to replace the discarded one
 		for range 3 {
 			p.Permit()
 			<-got
 		}
-		p.Permit() // for nobody
+		p.Permit() // no caller waits
 		is.Equal(p.Stats(), Stats{Limit: 3, Open: 3})
 	})
 }
 
-// Symptom: after a loss of power everywhere the upstreams refuse the processes
-// that come back. Sequence: a peak opens all connections of a share, and they stay
-// open. Cause: nothing closes what nobody needs; the upstream counts the old ones
-// for seconds more.
-func TestShrinkClosesWhatNobodyNeeded(t *testing.T) {
+// Guards against connections of a load peak that stay open. After a power failure
+// everywhere the upstreams would refuse the processes that restart, as an upstream
+// counts the old connections for some more seconds.
+func TestShrinkClosesUnneededConnections(t *testing.T) {
 	is := is.New(t)
-	n := &numbers{}
+	n := &numberDialer{}
 	p := n.pool(8)
 	is.NoErr(p.Warm(t.Context(), 8))
 	p.Shrink(4)
@@ -213,61 +213,61 @@
 		p.Put(c)
 	}
 	p.Shrink(4)
-	is.Equal(p.Stats(), Stats{Limit: 8, Open: 4, Idle: 4}) // six weren't needed, four stay
+	is.Equal(p.Stats(), Stats{Limit: 8, Open: 4, Idle: 4}) // six were not needed, four are kept
 	for _, c := range held {
-		is.True(!n.closed[c]) // the ones in use lately stay
+		is.True(!n.closed[c]) // the recently used ones are kept
 	}
 	p.Shrink(4)
 	is.Equal(p.Stats().Open, 4)
 }
 
-// Symptom: statements wait until their time is over for an upstream that is known
-// to be gone. Sequence: two connections are being opened, others wait in line; the
-// upstream is found to be silent. Cause: only those that open one are told.
-func TestRefuseEndsTheWait(t *testing.T) {
+// Guards against statements that wait until their timeout for an upstream that is known
+// to be down: some callers are dialing and others wait when the upstream is found not
+// to answer, and not only those that dial must get the error.
+func TestFailWaitingEndsWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := (&numbers{}).pool(1)
+		p := (&numberDialer{}).pool(1)
 		c, err := p.Get(t.Context())
 		is.NoErr(err)
-		gone := errors.New("gone")
-		ended := make(chan error)
+		errDown := errors.New("gone")
+		result := make(chan error)
 		go func() {
 			_, err := p.Get(t.Context())
-			ended <- err
+			result <- err
 		}()
 		synctest.Wait()
-		p.FailWaiting(gone)
-		is.Equal(<-ended, gone)
+		p.FailWaiting(errDown)
+		is.Equal(<-result, errDown)
 		p.Put(c)
 		is.Equal(p.Stats(), Stats{Limit: 1, Open: 1, Idle: 1})
 	})
 }
 
-// Symptom: statements wait for their whole second for connections that can't come.
-// Sequence: they are in line as the limit becomes 0, or come after that. Cause: a
-// pool without a limit lets them wait until it is raised.
-func TestNobodyWaitsWithoutALimit(t *testing.T) {
+// Guards against statements that wait for their whole second for connections that
+// cannot become available. They wait already when the limit becomes 0, or come after
+// that, and a pool without ZeroLimitErr lets them wait until it is raised.
+func TestWaitsFailAtZeroLimit(t *testing.T) {
 	is := is.New(t)
-	none := errors.New("none")
+	errNone := errors.New("none")
 	p := &Pool[int]{
-		Limit: 1, ZeroLimitErr: none, Close: func(int) {},
+		Limit: 1, ZeroLimitErr: errNone, Close: func(int) {},
 		Dial: func(context.Context, string) (int, error) { return 1, nil },
 	}
 	c, err := p.Get(t.Context())
 	is.NoErr(err)
-	ended := make(chan error)
+	result := make(chan error)
 	go func() {
 		_, err := p.Get(t.Context())
-		ended <- err
+		result <- err
 	}()
 	for p.Stats().Waiting == 0 {
 		runtime.Gosched()
 	}
 	p.SetLimit(0)
-	is.True(errors.Is(<-ended, none))
+	is.True(errors.Is(<-result, errNone))
 	_, err = p.Get(t.Context())
-	is.True(errors.Is(err, none))
+	is.True(errors.Is(err, errNone))
 	p.Put(c)
 	is.Equal(p.Stats().Open, 0)
 	p.SetLimit(1)
@@ -275,43 +275,44 @@
 	is.NoErr(err)
 }
 
-// owned is a connection and whom it was opened for.
-type owned struct {
+// ownedConn is a connection and its owner.
+type ownedConn struct {
 	owner  string
 	number int
 }
 
-// keyed is a pool that tells owners apart, and what it has closed.
-type keyed struct {
-	Pool[owned]
+// ownerPool is a pool whose connections have owners, with a record of those that it has
+// closed.
+type ownerPool struct {
+	Pool[ownedConn]
 	mu     sync.Mutex
 	opened int
-	closed []owned
+	closed []ownedConn
 }
 
-func newKeyed(limit int) *keyed {
-	k := &keyed{}
+func newOwnerPool(limit int) *ownerPool {
+	k := &ownerPool{}
 	k.Limit = limit
-	k.Dial = func(_ context.Context, owner string) (owned, error) {
+	k.Dial = func(_ context.Context, owner string) (ownedConn, error) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.opened++
-		return owned{owner, k.opened}, nil
+		return ownedConn{owner, k.opened}, nil
 	}
-	k.Close = func(c owned) {
+	k.Close = func(c ownedConn) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.closed = append(k.closed, c)
 	}
-	k.Owner = func(c owned) string { return c.owner }
+	k.Owner = func(c ownedConn) string { return c.owner }
 	return k
 }
 
 // Guards against a statement of one tenant on a connection that was opened for another.
-func TestAConnectionServesItsOwnerOnly(t *testing.T) {
+func TestConnectionServesOnlyItsOwner(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	k := newKeyed(2)
+	k := newOwnerPool(2)
 	a, err := k.GetFor(ctx, "a")
 	is.NoErr(err)
 	k.Put(a)
@@ -320,21 +321,22 @@
 	is.True(!ok)
 	b, err := k.GetFor(ctx, "b")
 	is.NoErr(err)
-	is.Equal(b, owned{"b", 2})
+	is.Equal(b, ownedConn{"b", 2})
 	again, err := k.GetFor(ctx, "a")
 	is.NoErr(err)
 	is.Equal(again, a) // opened once
 	k.Put(b)
 	whichever, err := k.Get(ctx)
 	is.NoErr(err)
-	is.Equal(whichever, b) // the pool's own work takes whatever is there
+	is.Equal(whichever, b) // Get accepts connections of any owner
 }
 
-// Guards against a pool whose connections all belong to tenants that have gone quiet.
-func TestTheConnectionIdleForLongestMakesRoom(t *testing.T) {
+// Guards against a pool whose connections all belong to tenants that are no longer
+// active.
+func TestLongestIdleConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	k := newKeyed(2)
+	k := newOwnerPool(2)
 	a, _ := k.GetFor(ctx, "a")
 	b, _ := k.GetFor(ctx, "b")
 	k.Put(a)
@@ -342,17 +344,17 @@
 	c, err := k.GetFor(ctx, "c")
 	is.NoErr(err)
 	is.Equal(c.owner, "c")
-	is.Equal(k.closed, []owned{a})
+	is.Equal(k.closed, []ownedConn{a})
 	is.Equal(k.Stats().Open, 2)
 }
 
-// Guards against a tenant that keeps all connections for itself by asking without a
+// Guards against a tenant that keeps all connections to itself by requesting without a
 // pause.
-func TestNobodyIsPassedOverForEver(t *testing.T) {
+func TestWaiterIsNotBypassedForever(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		ctx := context.Background()
-		k := newKeyed(1)
+		k := newOwnerPool(1)
 		held, _ := k.GetFor(ctx, "busy")
 		var order []string
 		for _, owner := range []string{"quiet", "busy", "busy", "busy", "busy", "busy"} {
@@ -375,12 +377,12 @@
 	})
 }
 
-// Plays drawn uses by many tenants: no connection is ever used by another owner, and
-// no more are open than the limit says.
-func TestOwnersInDrawnUses(t *testing.T) {
+// TestOwnersUnderRandomUse runs many tenants with random use: no connection is ever
+// used by another owner, and no more connections are open than the limit allows.
+func TestOwnersUnderRandomUse(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
-		k := newKeyed(4)
+		k := newOwnerPool(4)
 		var inUse sync.Map
 		for i := range 40 {
 			go func() {
