--- a/cataloger/catalog.go
+++ b/cataloger/catalog.go
@@ -12,14 +12,14 @@
 	"basildale.example/basildale/versioner"
 )
 
-// Freshness says what a route's reads must see.
+// Freshness says which writes a route's reads must see.
 type Freshness uint8
 
 // The kinds of freshness.
 const (
-	Latest           Freshness = iota // everything that was acknowledged before the read
-	BoundedStaleness                  // everything older than the route's greatest age
-	ReadYourWrites                    // as Bounded, and all writes of the same session
+	Latest           Freshness = iota // every write that was acknowledged before the read
+	BoundedStaleness                  // every write older than the route's maximum age
+	ReadYourWrites                    // as BoundedStaleness, and all writes of the same session
 )
 
 // String returns the freshness in lower case.
@@ -27,29 +27,30 @@
 	return [...]string{"latest", "bounded", "own"}[f]
 }
 
-// Route says how the statements of one database are served. It travels between
-// peers as JSON.
+// Route says how the statements of one database are served. It is sent between peers as
+// JSON.
 type Route struct {
 	Database  string        `json:"database"`
 	Group     string        `json:"group"`
 	Freshness Freshness     `json:"freshness"`
 	MaxAge    time.Duration `json:"maxage"`
-	// Timeout bounds one statement, Objective is what an operation aims at.
+	// Timeout bounds one statement, Objective is the target latency of an operation.
 	Timeout   time.Duration `json:"timeout"`
 	Objective time.Duration `json:"objective"`
 	// Priority orders routes: 0 is served first.
 	Priority int `json:"priority"`
-	// Public says that callers need no key.
+	// Public routes accept callers without a key.
 	Public bool `json:"public,omitempty"`
 }
 
-// GroupSettings is what the configuration says of a database group.
+// GroupSettings is the configuration of a database group.
 type GroupSettings struct {
 	Name string `json:"name"`
-	// MaxConnections is the greatest number that one upstream takes from all proxies
-	// together.
+	// MaxConnections is the number of connections that one upstream accepts from all
+	// proxies together.
 	MaxConnections int `json:"connections"`
-	// SyncReplicas is on how many replicas a commit is before it is acknowledged.
+	// SyncReplicas is the number of replicas that hold a commit before it is
+	// acknowledged.
 	SyncReplicas int `json:"confirms"`
 }
 
@@ -58,36 +59,37 @@
 	Version uint64          `json:"version"`
 	Routes  []Route         `json:"routes"`
 	Groups  []GroupSettings `json:"groups"`
-	// IdleTransactionTimeout is how long a transaction may be left idle by its caller.
+	// IdleTransactionTimeout is how long a caller may leave a transaction idle.
 	IdleTransactionTimeout time.Duration `json:"rest"`
-	// KeysRequired says that callers of routes that aren't public need the key of a workspace.
+	// KeysRequired says that callers need the key of a workspace on routes that are not
+	// public.
 	KeysRequired bool        `json:"keyed,omitempty"`
 	Workspaces   []Workspace `json:"workspaces,omitempty"`
 }
 
-// Upstream is one upstream as the store lists it.
+// Upstream is the entry of one upstream in the store.
 type Upstream struct {
 	ID string
-	// Version is the store's at the last change of the entry.
+	// Version is the store's version at the last change of the entry.
 	Version versioner.Version
 	Group   string
 	Address netip.AddrPort
 	Zone    string
 	Slots   int
-	// Born is when it started; zero where it doesn't say. An upstream that starts
-	// again under its ID holds nothing of before.
+	// Born is when the upstream started, zero if the entry does not say. An upstream
+	// that restarts under the same ID holds nothing from before.
 	Born    time.Time
 	Leaving bool
-	// Leads is what the upstream last said of itself.
+	// Leads is whether the upstream last reported that it is the leader.
 	Leads bool
 }
 
-// View is what traffic reads: the configuration in force, by database.
+// View is what request handling reads: the configuration in force, indexed by database.
 type View struct {
 	Config Config
 	routes map[string]Route
 	groups map[string]GroupSettings
-	keys   map[Fingerprint]string // names of workspaces
+	keys   map[Fingerprint]string // to names of workspaces
 	quotas map[string]*Quota      // by workspace
 }
 
@@ -103,46 +105,46 @@
 	return g, ok
 }
 
-// Catalog is the state. Its zero value knows nothing.
+// Catalog is the known configuration and upstreams. Its zero value is empty.
 //
-// What is known of the upstreams is what the store held at one version, up to which
-// it is complete, and perhaps some later changes. Of two catalogs whose digests
-// differ the one that is complete up to the later version knows something that the
-// other lacks. Nothing else tells them apart: a removal leaves no entry that is
-// newer. With the latest version of an entry in its place, a process that had taken
-// in a newer entry first never heard of a removal before it, and took a leader that
-// was gone for well.
+// The known upstreams are the content of the store at one version, up to which they are
+// complete, and possibly some later changes. If the digests of two catalogs differ, the
+// one that is complete up to the later version knows something that the other lacks.
+// Nothing else tells them apart, because a removal leaves no newer entry behind. If the
+// highest version of an entry were compared instead, a process that had already
+// received a newer entry would never learn of an earlier removal, and would take a
+// leader that no longer exists for a live one.
 //
-// A store that is restored has lost the latest entries, and whoever wrote them writes
-// them again, if it lives. So what the first list of a new era lacks is carried over
-// until Expire: dropped at once, an upstream that works would get no statements.
+// A store that is restored from a copy has lost its latest entries. The upstreams that
+// wrote them write them again if they are alive. So an entry that is missing from the
+// first list of a new era is kept until Expire: if it were dropped at once, a working
+// upstream would get no statements.
 type Catalog struct {
 	config    Config
 	upstreams map[string]Upstream
-	// removed holds the version at which an upstream was taken out after the
-	// version that the rest is complete up to, so that an older event can't bring it
-	// back.
-	removed  map[string]versioner.Version
-	complete versioner.Version
-	digest   uint64
+	// removed holds the version at which an upstream was removed, for removals after
+	// completeVersion, so that an older event cannot add it again.
+	removed         map[string]versioner.Version
+	completeVersion versioner.Version
+	digest          uint64
 }
 
 // CompleteVersion returns the version up to which every change of the entries is known.
-func (c *Catalog) CompleteVersion() versioner.Version { return c.complete }
+func (c *Catalog) CompleteVersion() versioner.Version { return c.completeVersion }
 
-// Digest returns a hash of all entries; catalogs with the same entries have the same.
+// Digest returns a hash of all entries. Catalogs with the same entries have the same
+// digest.
 func (c *Catalog) Digest() uint64 { return c.digest }
 
 // NeedsUpdate reports whether a catalog with the given digest, complete up to the given
-// version, knows of upstreams what this one doesn't.
+// version, has changes of upstreams that this one lacks.
 func (c *Catalog) NeedsUpdate(complete versioner.Version, digest uint64) bool {
-	return c.complete.Less(complete) && (digest != c.digest || complete.Era != c.complete.Era)
+	return c.completeVersion.Less(complete) && (digest != c.digest || complete.Era != c.completeVersion.Era)
 }
 
-// Configure takes in a configuration and reports whether it is newer than the
-// one in force. An older one changes nothing: a list from a lagging reader, a
-// peer that was cut off or a store that was restored would else bring removed routes
-// back.
+// Configure applies a configuration and reports whether it is newer than the one in
+// force. An older one changes nothing. Otherwise a list from a lagging reader, a peer
+// that was partitioned or a store that was restored would bring back removed routes.
 func (c *Catalog) Configure(config Config) bool {
 	if config.Version <= c.config.Version {
 		return false
@@ -175,28 +177,28 @@
 	return v
 }
 
-// Put takes in a changed entry and reports whether it is newer than the known. One
-// that isn't known, from before the version that the catalog is complete up to, was
-// removed since.
+// Put applies a changed entry and reports whether it is newer than the known one. An
+// unknown entry whose version is not after the one up to which the catalog is complete
+// has been removed since and is ignored.
 func (c *Catalog) Put(u Upstream) bool {
 	old, known := c.upstreams[u.ID]
 	if known && !old.Version.Less(u.Version) {
 		return false
 	}
-	if !known && (!c.complete.Less(u.Version) || !c.removed[u.ID].Less(u.Version)) {
+	if !known && (!c.completeVersion.Less(u.Version) || !c.removed[u.ID].Less(u.Version)) {
 		return false
 	}
 	if known && old.Version.Era < u.Version.Era {
-		u = u.restored(old)
+		u = u.withLaterState(old)
 	}
 	c.put(u)
 	return true
 }
 
-// restored returns an entry of a store that was restored, with what is known to be later
-// than the copy: that the upstream has started again since, and that it is leaving. It
-// will say so again.
-func (u Upstream) restored(known Upstream) Upstream {
+// withLaterState returns an entry of a restored store, updated with what is known to be
+// later than the copy: that the upstream has restarted since, or that it is leaving.
+// The upstream will report that again.
+func (u Upstream) withLaterState(known Upstream) Upstream {
 	if u.Born.Before(known.Born) {
 		known.Version = u.Version
 		return known
@@ -218,16 +220,17 @@
 	c.digest ^= u.hash()
 }
 
-// hash is the entry's part of the digest.
+// hash returns the entry's contribution to the digest.
 func (u *Upstream) hash() uint64 {
 	h := xxhash.NewWithSeed(u.Version.Revision)
-	_, _ = h.WriteString(u.ID) // neither ever fails, by its contract
+	_, _ = h.WriteString(u.ID) // neither call fails, by contract
 	_, _ = h.Write(binary.AppendUvarint(nil, u.Version.Era))
 	return h.Sum64()
 }
 
-// Remove takes in that an entry was removed, at a version or, as a watch states it,
-// at some time after the entry's last change.
+// Remove applies the removal of an entry and reports whether it removed one. The
+// version is that of the removal or, as a watch reports it, any version from the
+// entry's last change on.
 func (c *Catalog) Remove(id string, version versioner.Version) bool {
 	old, known := c.upstreams[id]
 	if known && version.Less(old.Version) {
@@ -245,43 +248,44 @@
 	return true
 }
 
-// Advance takes in that every change up to a version is known: a watch has told of
-// all of them, or a list.
+// Advance records that every change up to a version is known, from a list or from a
+// watch that has delivered all of them.
 func (c *Catalog) Advance(version versioner.Version) {
-	if !c.complete.Less(version) {
+	if !c.completeVersion.Less(version) {
 		return
 	}
-	c.complete = version
+	c.completeVersion = version
 	maps.DeleteFunc(c.removed, func(_ string, at versioner.Version) bool { return !version.Less(at) })
 }
 
-// Replace takes in a whole list as of a version: what isn't in it and was not
-// changed later is gone, or carried over from an earlier era.
+// Replace applies a whole list as of a version. An entry that is not in the list and
+// was not changed later is removed or, if it is from an earlier era, kept.
 func (c *Catalog) Replace(list []Upstream, version versioner.Version) bool {
 	return c.Merge(Changes{Upstreams: list, CompleteVersion: version})
 }
 
-// Changes is what one catalog tells another. It travels between peers as JSON.
+// Changes is the update that one catalog sends to another. It is sent between peers as
+// JSON.
 type Changes struct {
-	// Upstreams are the entries that have changed since the version that was asked
-	// for, and Kept the ids of those that haven't.
+	// Upstreams are the entries that have changed since the requested version, and
+	// Unchanged the IDs of the others.
 	Upstreams []Upstream `json:"upstreams"`
 	Unchanged []string   `json:"kept,omitempty"`
-	// CompleteVersion is the version up to which this is everything.
+	// CompleteVersion is the version up to which the changes are complete.
 	CompleteVersion versioner.Version `json:"complete"`
 }
 
-// ChangesSince returns what a catalog that is complete up to a version may lack. Told as a
-// whole, what processes that start together tell each other of 24 upstreams and 66
-// routes was two fifths of all bytes between availability zones in their first half
-// minute.
+// ChangesSince returns the changes that a catalog which is complete up to a version may
+// lack. When whole catalogs were sent, the exchange of 24 upstreams and 66 routes
+// between processes that start together was two fifths of all bytes between
+// availability zones in their first 30 s.
 func (c *Catalog) ChangesSince(version versioner.Version) Changes {
-	out := Changes{CompleteVersion: c.complete}
+	out := Changes{CompleteVersion: c.completeVersion}
 	for _, u := range c.Upstreams() {
-		carried := u.Version.Era < c.complete.Era
+		earlierEra := u.Version.Era < c.completeVersion.Era
 		switch {
-		case carried && version.Era == c.complete.Era:
-			// Whoever has listed this era knows better what became of it.
+		case earlierEra && version.Era == c.completeVersion.Era:
+			// A catalog that is complete up to this era has newer knowledge of the entry.
 		case version.Less(u.Version):
 			out.Upstreams = append(out.Upstreams, u)
 		default:
@@ -291,23 +295,23 @@
 	return out
 }
 
-// Merge takes in changes since a version that this catalog was complete up to when it
-// asked, and reports whether they are news.
+// Merge applies the changes since a version up to which this catalog was complete when
+// it requested them, and reports whether they changed anything.
 func (c *Catalog) Merge(ch Changes) bool {
-	if ch.CompleteVersion.Less(c.complete) {
+	if ch.CompleteVersion.Less(c.completeVersion) {
 		return false
 	}
 	changed := false
-	present := make(map[string]bool, len(ch.Upstreams)+len(ch.Unchanged))
+	listed := make(map[string]bool, len(ch.Upstreams)+len(ch.Unchanged))
 	for _, id := range ch.Unchanged {
-		present[id] = true
+		listed[id] = true
 	}
 	for _, u := range ch.Upstreams {
-		present[u.ID] = true
+		listed[u.ID] = true
 		changed = c.Put(u) || changed
 	}
 	for id, u := range c.upstreams {
-		if !present[id] && u.Version.Era == ch.CompleteVersion.Era && !ch.CompleteVersion.Less(u.Version) {
+		if !listed[id] && u.Version.Era == ch.CompleteVersion.Era && !ch.CompleteVersion.Less(u.Version) {
 			changed = c.Remove(id, ch.CompleteVersion) || changed
 		}
 	}
@@ -315,32 +319,32 @@
 	return changed
 }
 
-// FromEarlierEra returns the ids of the upstreams that were listed in an earlier era and not yet
-// in the present one, in their order.
+// FromEarlierEra returns the sorted IDs of the upstreams that were listed in an earlier
+// era and not yet in the current one.
 func (c *Catalog) FromEarlierEra() []string {
 	var out []string
 	for _, u := range c.Upstreams() {
-		if u.Version.Era < c.complete.Era {
+		if u.Version.Era < c.completeVersion.Era {
 			out = append(out, u.ID)
 		}
 	}
 	return out
 }
 
-// Expire drops the upstreams that are carried over into an era, and returns their ids.
+// Expire removes the upstreams that were kept from earlier eras and returns their IDs.
 // It changes nothing once a later era is known.
 func (c *Catalog) Expire(era uint64) []string {
-	if c.complete.Era != era {
+	if c.completeVersion.Era != era {
 		return nil
 	}
-	gone := c.FromEarlierEra()
-	for _, id := range gone {
-		c.Remove(id, c.complete)
+	expired := c.FromEarlierEra()
+	for _, id := range expired {
+		c.Remove(id, c.completeVersion)
 	}
-	return gone
+	return expired
 }
 
-// Upstreams returns all entries in the order of their IDs.
+// Upstreams returns all entries sorted by ID.
 func (c *Catalog) Upstreams() []Upstream {
 	out := make([]Upstream, 0, len(c.upstreams))
 	for _, id := range slices.Sorted(maps.Keys(c.upstreams)) {
--- a/cataloger/doc.go
+++ b/cataloger/doc.go
@@ -1,10 +1,10 @@
-// Package cataloger holds what the platform's store says: the configuration in
+// Package cataloger holds the data of the platform's store: the configuration in
 // force and the upstreams of each database group.
 //
-// Both come from lists and watches that may be cut, repeated or out of date, and
-// the configuration also from peers. A Catalog takes them in any order and never
-// steps back: a configuration of an older version and an entry of an older
-// revision change nothing. It belongs to one goroutine; traffic reads the
+// Both come from lists and watches that may be interrupted, repeated or out of date, and
+// the configuration also from peers. A Catalog accepts them in any order and never
+// goes back: a configuration of an older version or an entry of an older revision changes
+// nothing. A Catalog belongs to one goroutine; request handling reads the
 // immutable View that it publishes.
 //
 // # Usage
--- a/cataloger/workspace.go
+++ b/cataloger/workspace.go
@@ -8,8 +8,8 @@
 )
 
 // Fingerprint identifies an API key without revealing it. The zero value is the
-// fingerprint of no key. Processes keep, compare and pass on fingerprints only, so that
-// neither a log line nor a peer's answer can hold a key.
+// fingerprint of the empty key. Processes store, compare and send only fingerprints, so
+// neither a log line nor a peer's answer can contain a key.
 type Fingerprint [sha256.Size]byte
 
 // NewFingerprint returns the fingerprint of a key; that of the empty key is zero.
@@ -20,7 +20,7 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the first bytes, enough to tell the keys of a log apart.
+// String returns the first bytes, enough to tell keys apart in a log.
 func (f Fingerprint) String() string {
 	const shown = 6
 	return base64.RawURLEncoding.EncodeToString(f[:shown])
@@ -44,24 +44,24 @@
 	return nil
 }
 
-// Workspace is a customer: whom keys belong to, and how much it may ask for. It travels
+// Workspace is a customer, with the keys of its callers and its quota. It is sent
 // between peers as JSON.
 type Workspace struct {
 	Name string        `json:"name"`
 	Keys []Fingerprint `json:"keys"`
-	// Quota bounds its operations over the whole fleet; nil leaves them unbounded.
+	// Quota bounds its operations over the whole fleet; nil means no bound.
 	Quota *Quota `json:"quota,omitempty"`
 }
 
 // Quota is a token bucket.
 type Quota struct {
-	// Rate is in operations a second, Burst in operations.
+	// Rate is in operations per second, Burst in operations.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
 }
 
-// Identify returns whose statements are those of a caller with a key on a route, and
-// whether the route takes them. The name is empty where anyone may ask.
+// Identify returns the workspace of a caller with a key on a route, and whether the
+// route accepts the caller. The workspace is empty where no key is required.
 func (v *View) Identify(r *Route, key Fingerprint) (workspace string, ok bool) {
 	if r.Public || !v.Config.KeysRequired {
 		return "", true
