--- a/leaver/doc.go
+++ b/leaver/doc.go
@@ -1,30 +1,31 @@
-// Package leaver decides how things leave without anybody noticing: this process
-// when it is told to stop, and upstreams that the platform's list calls leaving.
+// Package leaver controls graceful departures: the shutdown of this process, and the
+// removal of upstreams that the platform's list reports as leaving. Callers should notice
+// neither.
 //
 // Both are pure state machines: Handle takes an event and the time and returns
-// commands, Next says when a [Tick] is wanted.
+// commands, Next returns when a [Tick] is due.
 //
 // # Stopping a process
 //
-// [Process] goes through four phases. It announces that it leaves, to its peers
-// and to the platform, and hands over the groups it leads, while it serves as
-// before: the platform's list lags, and until the balancer has read it new
-// callers still come. Then it closes the listener and ends idle sessions between
-// two requests, a few at a time, so that thousands of callers don't reconnect in
-// the same moment. Sessions with a request or a transaction under way go on until
-// they are idle. When none is left it gives its connection shares back and
+// [Process] goes through four phases. It announces its departure to its peers
+// and to the platform and hands over the groups it leads, and serves as
+// before meanwhile: the platform's list lags, and until the load balancer has read it, new
+// callers still connect. Then it closes the listener and ends idle sessions between
+// two requests, a few at a time, so that thousands of callers do not reconnect at
+// the same moment. Sessions with a request or a transaction in progress continue until
+// they are idle. When no session is left, it returns its connection shares and
 // exits with code 0.
 //
-// A second signal or the deadline ends it at any point, with code 1 and the names
-// of what was cut.
+// A second signal or the deadline ends it at any point, with code 1 and a list of
+// the sessions that were interrupted.
 //
 // # Upstreams that leave
 //
 // [Upstreams] reads the platform's list every second. An upstream that is listed
-// as leaving gets no new work from that moment; if it is the primary, the group
-// is to be moved to another one first, while writes are held. It gets work again
-// only after it has been listed as live for some time without a break, because
-// lists that come from different readers can differ in age.
+// as leaving gets no new work from then on. If it is the leader, the group first moves
+// to another leader, and writes are held meanwhile. The upstream gets work again
+// only after it has been listed as live for some time without interruption, because
+// lists from different readers can differ in age.
 //
 // # Usage
 //
--- a/leaver/event.go
+++ b/leaver/event.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Event is something that happened to a Process that stops.
+// Event is an input of a Process.
 type Event interface{ event() }
 
-// Cause says who wants the process to stop.
+// Cause says who requested the stop.
 type Cause string
 
 // The causes of a stop.
 const (
 	Signal   Cause = "signal"   // SIGTERM
 	Drain    Cause = "drain"    // an operator's command
-	Platform Cause = "platform" // the list says that this instance leaves
+	Platform Cause = "platform" // the platform's list has this instance as leaving
 )
 
-// Begin starts the stop. Groups are those that this process leads. A second
-// Begin with the cause Signal ends the process at once.
+// Begin starts the stop. Groups are those that this process leads. A second Begin with
+// the cause Signal ends the process at once.
 type Begin struct {
 	Cause  Cause
 	Groups []string
@@ -25,24 +25,24 @@
 // Announced is the outcome of AnnouncePlatform.
 type Announced struct{ OK bool }
 
-// Listed says what the platform's list, as just read, has about this process.
+// Listed is this process's state in the platform's list, as just read.
 type Listed struct{ Live bool }
 
-// HandedOver is the outcome of HandOver. Without OK it is tried again.
+// HandedOver is the outcome of HandOver. If OK is false, it is tried again.
 type HandedOver struct {
 	Group string
 	To    string
 	OK    bool
 }
 
-// Session names a session that can't be ended now.
+// Session identifies a session that cannot be ended now.
 type Session struct {
 	ID          string
 	Tenant      string
 	Transaction bool // it waits for its caller inside a transaction
 }
 
-// SessionCounts is the answer to the Count of the same number.
+// SessionCounts is the answer to the CountSessions command with the same number.
 type SessionCounts struct {
 	Number   int
 	Idle     int // sessions between two requests
@@ -68,29 +68,29 @@
 // Command is something that the owner of a Process has to do.
 type Command interface{ command() }
 
-// AnnouncePeers tells the peers that this process leaves. They give it no new
-// leadership and no new shares. It needs no answer.
+// AnnouncePeers notifies the peers that this process leaves. They no longer give it
+// leadership or shares. It has no outcome.
 type AnnouncePeers struct{}
 
-// AnnouncePlatform tells the platform, by an object or its API for instances,
-// that this instance leaves. Its outcome is Announced.
+// AnnouncePlatform notifies the platform, by an object or its API for instances, that
+// this instance leaves. Its outcome is Announced.
 type AnnouncePlatform struct{}
 
-// HandOver gives the leadership of a group to the next deputy. Its outcome is
+// HandOver hands the leadership of a group to the next deputy. Its outcome is
 // HandedOver.
 type HandOver struct{ Group string }
 
-// CountSessions asks for a Load of what is true after it was asked for.
+// CountSessions requests SessionCounts that are taken after the command.
 type CountSessions struct{ Number int }
 
-// CloseListener ends the taking of new callers.
+// CloseListener stops accepting new callers.
 type CloseListener struct{}
 
-// EndIdle ends up to Limit sessions that are between two requests. A session in
-// which a request arrives meanwhile answers that first.
+// EndIdle ends up to Limit sessions that are between two requests. A session that
+// receives a request in the meantime answers it first.
 type EndIdle struct{ Limit int }
 
-// ReturnShares gives the connection shares back. Its outcome is Returned.
+// ReturnShares returns the connection shares. Its outcome is SharesReturned.
 type ReturnShares struct{}
 
 // Exit ends the process with Code.
@@ -108,20 +108,20 @@
 func (ReturnShares) command()     {}
 func (Exit) command()             {}
 
-// Summary tells how a stop went.
+// Summary reports how a stop went.
 type Summary struct {
-	Cause       Cause
-	Began       time.Time
-	Ended       time.Time
-	Reason      Reason
-	Sessions    int       // ended between two requests
-	Finished    int       // requests finished during the stop
-	Groups      []string  // handed over
-	Kept        []string  // groups that nobody took; their leases run out
-	Interrupted []Session // ended within a request or transaction
-	Idle        int       // idle sessions that were ended all at once at the end
-	Unsaid      bool      // the platform couldn't be told
-	Shares      bool      // the shares were given back
+	Cause                    Cause
+	Began                    time.Time
+	Ended                    time.Time
+	Reason                   Reason
+	SessionsEnded            int       // between two requests
+	RequestsFinished         int       // during the stop
+	GroupsHandedOver         []string  // each with its new leader
+	GroupsNotHandedOver      []string  // no process took them over; their leases expire
+	Interrupted              []Session // ended within a request or transaction
+	IdleEnded                int       // idle sessions that were ended all at once at the end
+	PlatformNotNotified      bool      // the platform could not be notified
+	ConnectionSharesReturned bool
 }
 
 // Reason says what ended the process.
--- a/leaver/process_test.go
+++ b/leaver/process_test.go
@@ -9,96 +9,96 @@
 	"github.com/matryer/is"
 )
 
-// host is what a Process leaves: callers, the platform and its lagging list, the
-// deputies and whoever grants shares. Time is virtual.
-type host struct {
-	now      time.Time
-	process  *Process
-	idle     int
-	busy     map[string]time.Time // sessions under way, until when
-	stuck    []Session            // never become idle
-	arrivals int                  // callers that come in each second while the list has this process
-	listed   time.Duration        // from the announcement until the list says so; 0: never
-	platform time.Duration        // the platform answers nothing until then
-	refusals int                  // attempts to hand over that fail
-	mute     bool                 // shares are never confirmed
-	slow     bool                 // a Load arrives one Count late
-	last     int                  // callers that connect right before the listener is closed
-	told     time.Time
-	late     *SessionCounts
-	begin    time.Time
-	closed   bool
-	ended    int
-	finished int
-	largest  int // most sessions ended by one command
-	exit     *Exit
-	trace    []string
+// testHost simulates the environment of a Process: callers, the platform and its
+// lagging list, the deputies and the owner of the shares. Time is virtual.
+type testHost struct {
+	now                 time.Time
+	process             *Process
+	idle                int
+	busy                map[string]time.Time // sessions with a request in progress, and when it ends
+	neverIdle           []Session            // sessions that never become idle
+	arrivals            int                  // callers per second that connect while the list has this process as live
+	listedAfter         time.Duration        // from the announcement until the list has it; 0: never
+	platformDownFor     time.Duration        // the platform answers nothing until then
+	refusals            int                  // number of handover attempts that fail
+	sharesNeverReturned bool                 // ReturnShares gets no answer
+	countsLate          bool                 // SessionCounts arrive one CountSessions late
+	lastArrivals        int                  // callers that connect right before the listener is closed
+	platformNotifiedAt  time.Time
+	delayedCounts       *SessionCounts
+	begin               time.Time
+	closed              bool
+	ended               int
+	finished            int
+	maxEnded            int // most sessions ended by one command
+	exit                *Exit
+	trace               []string
 }
 
-func newHost() *host {
+func newTestHost() *testHost {
 	now := time.Unix(1_800_000_000, 0)
-	return &host{now: now, begin: now, process: &Process{}, busy: make(map[string]time.Time)}
+	return &testHost{now: now, begin: now, process: &Process{}, busy: make(map[string]time.Time)}
 }
 
-func (h *host) give(ev Event) {
+func (h *testHost) handle(ev Event) {
 	for _, c := range h.process.Handle(ev, h.now) {
-		h.carry(c)
+		h.execute(c)
 	}
 }
 
-func (h *host) carry(c Command) {
+func (h *testHost) execute(c Command) {
 	switch c := c.(type) {
 	case AnnouncePeers:
-		h.note("peers told")
+		h.note("peers notified")
 	case AnnouncePlatform:
-		up := h.now.Sub(h.begin) >= h.platform
-		if up && h.told.IsZero() {
-			h.told = h.now
-			h.note("platform told")
+		up := h.now.Sub(h.begin) >= h.platformDownFor
+		if up && h.platformNotifiedAt.IsZero() {
+			h.platformNotifiedAt = h.now
+			h.note("platform notified")
 		}
-		h.give(Announced{OK: up})
+		h.handle(Announced{OK: up})
 	case HandOver:
 		h.refusals--
-		h.give(HandedOver{Group: c.Group, To: "deputy", OK: h.refusals < 0})
+		h.handle(HandedOver{Group: c.Group, To: "deputy", OK: h.refusals < 0})
 	case CountSessions:
-		h.counted(c)
+		h.answerCount(c)
 	case CloseListener:
-		h.closed, h.idle = true, h.idle+h.last
+		h.closed, h.idle = true, h.idle+h.lastArrivals
 		h.note("listener closed")
 	case EndIdle:
 		n := min(c.Limit, h.idle)
-		h.idle, h.ended, h.largest = h.idle-n, h.ended+n, max(h.largest, n)
+		h.idle, h.ended, h.maxEnded = h.idle-n, h.ended+n, max(h.maxEnded, n)
 	case ReturnShares:
-		h.note("shares given back")
-		if !h.mute {
-			h.give(SharesReturned{OK: true})
+		h.note("shares returned")
+		if !h.sharesNeverReturned {
+			h.handle(SharesReturned{OK: true})
 		}
 	case Exit:
 		h.exit = &c
 	}
 }
 
-func (h *host) counted(c CountSessions) {
-	load := SessionCounts{Number: c.Number, Idle: h.idle, Busy: append([]Session(nil), h.stuck...), Ended: h.ended, Finished: h.finished}
+func (h *testHost) answerCount(c CountSessions) {
+	counts := SessionCounts{Number: c.Number, Idle: h.idle, Busy: append([]Session(nil), h.neverIdle...), Ended: h.ended, Finished: h.finished}
 	for id := range h.busy {
-		load.Busy = append(load.Busy, Session{ID: id, Tenant: "damplinjerne"})
+		counts.Busy = append(counts.Busy, Session{ID: id, Tenant: "damplinjerne"})
 	}
-	if h.slow {
-		if h.late != nil {
-			h.give(*h.late)
+	if h.countsLate {
+		if h.delayedCounts != nil {
+			h.handle(*h.delayedCounts)
 		}
-		h.late = &load
+		h.delayedCounts = &counts
 		return
 	}
-	h.give(load)
+	h.handle(counts)
 }
 
-func (h *host) note(s string) {
+func (h *testHost) note(s string) {
 	h.trace = append(h.trace, fmt.Sprintf("%v %s", h.now.Sub(h.begin), s))
 }
 
-// run lets d pass in steps of 50 ms, or until the process has ended.
-func (h *host) run(d time.Duration) {
+// run advances time by d in steps of 50 ms, or until the process has ended.
+func (h *testHost) run(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := h.now.Add(d); h.now.Before(end) && h.exit == nil; {
 		h.now = h.now.Add(step)
@@ -109,113 +109,112 @@
 				h.idle, h.finished = h.idle+1, h.finished+1
 			}
 		}
-		inList := h.told.IsZero() || h.listed == 0 || h.now.Sub(h.told) < h.listed
+		inList := h.platformNotifiedAt.IsZero() || h.listedAfter == 0 || h.now.Sub(h.platformNotifiedAt) < h.listedAfter
 		if passed%time.Second == 0 {
 			if inList && !h.closed {
 				h.idle += h.arrivals
 			}
-			h.give(Listed{Live: inList})
+			h.handle(Listed{Live: inList})
 		}
 		if next := h.process.Next(); !next.IsZero() && !next.After(h.now) {
-			h.give(Tick{})
+			h.handle(Tick{})
 		}
 	}
 }
 
 func TestStops(t *testing.T) {
 	second := time.Second
-	cut := func(h *host) []Session { return h.exit.Summary.Interrupted }
+	interrupted := func(h *testHost) []Session { return h.exit.Summary.Interrupted }
 	tests := []struct {
-		name  string
-		tells string // symptom, sequence, cause
-		set   func(*host)
-		check func(*is.I, *host)
+		name   string
+		guards string // the failure that the case guards against
+		set    func(*testHost)
+		check  func(*is.I, *testHost)
 	}{
 		{
-			"nothing to do", "Symptom: an idle process waits for its deadline.",
-			func(h *host) { h.listed = second },
-			func(is *is.I, h *host) { is.True(h.exit.Summary.Ended.Sub(h.begin) < 4*second) },
+			"nothing to do", "An idle process waits for its deadline.",
+			func(h *testHost) { h.listedAfter = second },
+			func(is *is.I, h *testHost) { is.True(h.exit.Summary.Ended.Sub(h.begin) < 4*second) },
 		},
 		{
-			"list lags", "Symptom: callers are refused. Sequence: the balancer reads an old list and sends callers after the listener is closed.",
-			func(h *host) { h.listed, h.arrivals, h.idle = 6*second, 10, 100 },
-			func(is *is.I, h *host) {
-				is.Equal(h.ended, 100+5*10) // all that came, none refused
+			"list lags", "Callers are refused because the load balancer reads an old list and sends them after the listener is closed.",
+			func(h *testHost) { h.listedAfter, h.arrivals, h.idle = 6*second, 10, 100 },
+			func(is *is.I, h *testHost) {
+				is.Equal(h.ended, 100+5*10) // every caller that connected, none refused
 				is.True(strings.HasPrefix(h.trace[2], "8"))
 			},
 		},
 		{
-			"list never says so", "Symptom: the stop never ends. Cause: it waits for the list without bound.",
-			func(h *host) { h.arrivals, h.idle = 1, 10 },
-			func(is *is.I, h *host) { is.True(h.exit.Summary.Ended.Sub(h.begin) < 20*second) },
+			"list never has it as leaving", "The stop never ends because it waits for the list without a bound.",
+			func(h *testHost) { h.arrivals, h.idle = 1, 10 },
+			func(is *is.I, h *testHost) { is.True(h.exit.Summary.Ended.Sub(h.begin) < 20*second) },
 		},
 		{
-			"platform down for the whole stop", "Symptom: as above.",
-			func(h *host) { h.platform, h.idle = time.Hour, 10 },
-			func(is *is.I, h *host) { is.True(h.exit.Summary.Unsaid) },
+			"platform down for the whole stop", "The stop never ends because the platform does not answer.",
+			func(h *testHost) { h.platformDownFor, h.idle = time.Hour, 10 },
+			func(is *is.I, h *testHost) { is.True(h.exit.Summary.PlatformNotNotified) },
 		},
 		{
-			"platform down at first", "Symptom: the platform is never told. Cause: it is told only once.",
-			func(h *host) { h.platform, h.listed = 3*second, 2*second },
-			func(is *is.I, h *host) {
-				is.True(!h.exit.Summary.Unsaid)
-				is.True(!h.told.IsZero())
+			"platform down at first", "The platform is never notified because the announcement is sent only once.",
+			func(h *testHost) { h.platformDownFor, h.listedAfter = 3*second, 2*second },
+			func(is *is.I, h *testHost) {
+				is.True(!h.exit.Summary.PlatformNotNotified)
+				is.True(!h.platformNotifiedAt.IsZero())
 			},
 		},
 		{
-			"long request", "Symptom: a request is cut. Sequence: it takes longer than the list lags.",
-			func(h *host) { h.listed, h.busy["a"] = second, h.now.Add(30*second) },
-			func(is *is.I, h *host) {
+			"long request", "A request is interrupted because it takes longer than the list lags.",
+			func(h *testHost) { h.listedAfter, h.busy["a"] = second, h.now.Add(30*second) },
+			func(is *is.I, h *testHost) {
 				is.Equal(h.finished, 1)
 				is.True(h.exit.Summary.Ended.Sub(h.begin) >= 30*second)
 			},
 		},
 		{
-			"many idle sessions", "Symptom: all callers reconnect in one moment. Cause: all sessions are ended at once.",
-			func(h *host) { h.listed, h.idle = second, 5200 },
-			func(is *is.I, h *host) {
+			"many idle sessions", "All callers reconnect at the same moment because all sessions are ended at once.",
+			func(h *testHost) { h.listedAfter, h.idle = second, 5200 },
+			func(is *is.I, h *testHost) {
 				is.Equal(h.ended, 5200)
-				is.True(h.largest <= 5200/40)
+				is.True(h.maxEnded <= 5200/40)
 			},
 		},
 		{
-			"leadership not taken at first", "Symptom: a group is without a leader until the lease ends. Sequence: the deputy refuses twice.",
-			func(h *host) { h.listed, h.refusals = second, 2 },
-			func(is *is.I, h *host) { is.Equal(h.exit.Summary.Groups, []string{"billet-db-2>deputy"}) },
+			"leadership not taken at first", "A group has no leader until the lease expires because the deputy refuses twice.",
+			func(h *testHost) { h.listedAfter, h.refusals = second, 2 },
+			func(is *is.I, h *testHost) { is.Equal(h.exit.Summary.GroupsHandedOver, []string{"billet-db-2>deputy"}) },
 		},
 		{
-			"shares never confirmed", "Symptom: the stop hangs at its last step.",
-			func(h *host) { h.listed, h.mute = second, true },
-			func(is *is.I, h *host) { is.True(!h.exit.Summary.Shares) },
+			"shares never confirmed", "The stop hangs at its last step.",
+			func(h *testHost) { h.listedAfter, h.sharesNeverReturned = second, true },
+			func(is *is.I, h *testHost) { is.True(!h.exit.Summary.ConnectionSharesReturned) },
 		},
 		{
-			"counts come late", "Symptom: a caller that connected right before the listener was closed is cut. Cause: an older count is taken for the proof that nobody is left.",
-			func(h *host) { h.listed, h.slow, h.last = 2*second, true, 1 },
-			func(is *is.I, h *host) { is.Equal(h.idle, 0) },
+			"counts come late", "A caller that connected right before the listener was closed is interrupted because an older count is taken as proof that no session is left.",
+			func(h *testHost) { h.listedAfter, h.countsLate, h.lastArrivals = 2*second, true, 1 },
+			func(is *is.I, h *testHost) { is.Equal(h.idle, 0) },
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHost()
+			h := newTestHost()
 			tt.set(h)
-			h.give(Begin{Cause: Drain, Groups: []string{"billet-db-2"}})
+			h.handle(Begin{Cause: Drain, Groups: []string{"billet-db-2"}})
 			h.run(2 * time.Minute)
 			is.True(h.exit != nil)
 			is.Equal(h.exit.Code, 0)
-			is.Equal(len(cut(h)), 0)
-			is.Equal(h.idle+len(h.busy), 0) // nobody was left when it ended
+			is.Equal(len(interrupted(h)), 0)
+			is.Equal(h.idle+len(h.busy), 0) // no session was left when it ended
 			tt.check(is, h)
 		})
 	}
 }
 
-func TestStopsThatCut(t *testing.T) {
-	// Symptom: a process that can't finish hangs, or ends without saying whom it
-	// cut. Sequence: a caller holds a transaction open; then the deadline or a
-	// second signal comes.
-	// Cause: no bound, or the list of what is left is thrown away.
-	stuck := Session{ID: "17", Tenant: "quetzaltenango", Transaction: true}
+func TestForcedStopReportsInterruptedSessions(t *testing.T) {
+	// Guards against a process that hangs when a caller holds a transaction open, or
+	// that ends at the deadline or a second signal without reporting the sessions it
+	// interrupted.
+	open := Session{ID: "17", Tenant: "quetzaltenango", Transaction: true}
 	tests := []struct {
 		name   string
 		signal time.Duration
@@ -231,21 +230,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHost()
-			h.listed, h.idle, h.stuck = time.Second, 3, []Session{stuck}
+			h := newTestHost()
+			h.listedAfter, h.idle, h.neverIdle = time.Second, 3, []Session{open}
 			h.refusals = 1000
-			h.give(Begin{Cause: Signal, Groups: []string{"fiestas-base-1"}})
+			h.handle(Begin{Cause: Signal, Groups: []string{"fiestas-base-1"}})
 			h.run(min(tt.signal, 2*time.Minute))
 			if h.exit == nil {
-				h.give(Begin{Cause: tt.cause})
+				h.handle(Begin{Cause: tt.cause})
 			}
 			h.run(2 * time.Minute)
 			s := h.exit.Summary
 			is.Equal(h.exit.Code, 1)
 			is.Equal(s.Reason, tt.want)
 			is.Equal(s.Ended.Sub(s.Began), tt.ended)
-			is.Equal(s.Interrupted, []Session{stuck})
-			is.Equal(s.Kept, []string{"fiestas-base-1"})
+			is.Equal(s.Interrupted, []Session{open})
+			is.Equal(s.GroupsNotHandedOver, []string{"fiestas-base-1"})
 			is.True(strings.Contains(s.String(), "1 cut quetzaltenango/17(transaction)"))
 			is.Equal(len(h.process.Handle(Tick{}, h.now.Add(time.Hour))), 0) // over
 		})
--- a/leaver/upstreams.go
+++ b/leaver/upstreams.go
@@ -9,9 +9,9 @@
 
 // The defaults of Upstreams.
 const (
-	DefaultEvery  = time.Second
-	DefaultReturn = 5 * time.Second
-	DefaultForget = 10 * time.Minute
+	DefaultListInterval = time.Second
+	DefaultReadmitDelay = 5 * time.Second
+	DefaultForgetDelay  = 10 * time.Minute
 )
 
 // Upstream is one entry of the platform's list.
@@ -21,57 +21,57 @@
 	Leaving bool
 }
 
-// Upstreams decides which upstreams get no new work because they leave. Its zero
-// value is ready. It is not safe for concurrent use.
+// Upstreams decides which upstreams get no new work because they are leaving. Its zero
+// value is ready for use. It is not safe for concurrent use.
 type Upstreams struct {
-	Every  time.Duration // between two readings of the list
-	Return time.Duration // an upstream is listed as live this long before it gets work again
-	Forget time.Duration // an upstream that leaves and isn't listed any more is forgotten then
+	ListInterval time.Duration // between two reads of the list
+	ReadmitDelay time.Duration // how long an upstream must be listed as live before it gets work again
+	ForgetDelay  time.Duration // after which a leaving upstream that is no longer listed is forgotten
 
-	leaving map[netip.AddrPort]*departure
-	read    time.Time // when the list is read again
+	leaving  map[netip.AddrPort]*leavingUpstream
+	nextRead time.Time // when the list is read again
 }
 
-// departure is an upstream that leaves.
-type departure struct {
-	group  string
-	moving bool
-	live   time.Time // since when it is listed as live again; zero if it isn't
-	seen   time.Time // when it was listed last
+// leavingUpstream is the state of an upstream that is leaving.
+type leavingUpstream struct {
+	group      string
+	moving     bool
+	liveSince  time.Time // since when it is listed as live again; zero if it is not
+	lastListed time.Time
 }
 
-// UpstreamEvent is something that happened to Upstreams.
+// UpstreamEvent is an input of Upstreams.
 type UpstreamEvent interface{ upstreamEvent() }
 
 // ListRead is the platform's list of upstreams.
 type ListRead struct{ Upstreams []Upstream }
 
-// ListFailed says that the list couldn't be read.
+// ListFailed says that the list could not be read.
 type ListFailed struct{}
 
-// PrimaryIs says which upstream is primary of a group.
-type PrimaryIs struct {
+// LeaderReported says which upstream is the leader of a group.
+type LeaderReported struct {
 	Group string
 	Addr  netip.AddrPort
 }
 
-// MoveFailed says that the group's primary couldn't be moved.
+// MoveFailed says that the group's leader could not be moved.
 type MoveFailed struct{ Group string }
 
-func (ListRead) upstreamEvent()   {}
-func (ListFailed) upstreamEvent() {}
-func (PrimaryIs) upstreamEvent()  {}
-func (MoveFailed) upstreamEvent() {}
-func (Tick) upstreamEvent()       {}
+func (ListRead) upstreamEvent()       {}
+func (ListFailed) upstreamEvent()     {}
+func (LeaderReported) upstreamEvent() {}
+func (MoveFailed) upstreamEvent()     {}
+func (Tick) upstreamEvent()           {}
 
 // UpstreamCommand is something that the owner of Upstreams has to do.
 type UpstreamCommand interface{ upstreamCommand() }
 
-// ReadList asks for the platform's list, or the one that a peer read. Its outcome
-// is ListRead or ListFailed.
+// ReadList requests the platform's list, or one that a peer has read. Its outcome is
+// ListRead or ListFailed.
 type ReadList struct{}
 
-// Withdraw says that an upstream gets no new work. What is under way goes on.
+// Withdraw says that an upstream gets no new work. Work in progress continues.
 type Withdraw struct {
 	Addr  netip.AddrPort
 	Group string
@@ -83,38 +83,38 @@
 	Group string
 }
 
-// MovePrimary asks for a planned change of the group's primary away from From.
-// Writes are held meanwhile.
-type MovePrimary struct {
+// MoveLeader requests a planned change of the group's leader away from From. Writes are
+// held meanwhile.
+type MoveLeader struct {
 	Group string
 	From  netip.AddrPort
 }
 
-func (ReadList) upstreamCommand()    {}
-func (Withdraw) upstreamCommand()    {}
-func (Readmit) upstreamCommand()     {}
-func (MovePrimary) upstreamCommand() {}
+func (ReadList) upstreamCommand()   {}
+func (Withdraw) upstreamCommand()   {}
+func (Readmit) upstreamCommand()    {}
+func (MoveLeader) upstreamCommand() {}
 
-// Next returns when Handle wants a Tick. It is zero before the first Handle.
-func (u *Upstreams) Next() time.Time { return u.read }
+// Next returns when Handle needs a Tick. It is zero before the first Handle.
+func (u *Upstreams) Next() time.Time { return u.nextRead }
 
 // Withdrawn reports whether an upstream gets no new work.
 func (u *Upstreams) Withdrawn(addr netip.AddrPort) bool { return u.leaving[addr] != nil }
 
-// Handle takes an event at the time now and returns what is to be done.
+// Handle takes an event at the time now and returns the commands to carry out.
 func (u *Upstreams) Handle(ev UpstreamEvent, now time.Time) []UpstreamCommand {
 	var out []UpstreamCommand
 	switch ev := ev.(type) {
 	case ListRead:
 		out = u.listRead(ev, now)
-	case PrimaryIs:
-		out = u.primaryIs(ev)
+	case LeaderReported:
+		out = u.leaderReported(ev)
 	case MoveFailed:
 		u.moveFailed(ev)
 	case ListFailed, Tick:
 	}
-	if !now.Before(u.read) {
-		u.read = now.Add(cmp.Or(u.Every, DefaultEvery))
+	if !now.Before(u.nextRead) {
+		u.nextRead = now.Add(cmp.Or(u.ListInterval, DefaultListInterval))
 		out = append(out, ReadList{})
 	}
 	return out
@@ -122,16 +122,16 @@
 
 func (u *Upstreams) listRead(ev ListRead, now time.Time) []UpstreamCommand {
 	if u.leaving == nil {
-		u.leaving = make(map[netip.AddrPort]*departure)
+		u.leaving = make(map[netip.AddrPort]*leavingUpstream)
 	}
 	var out []UpstreamCommand
 	for _, up := range ev.Upstreams {
 		out = u.listed(out, up, now)
 	}
 	for addr, d := range u.leaving {
-		// It has left. Should another upstream get its address later, that
-		// one is not to be held for the one that left.
-		if now.Sub(d.seen) > cmp.Or(u.Forget, DefaultForget) {
+		// The upstream has left. Another one that gets its address later must not
+		// be treated as leaving.
+		if now.Sub(d.lastListed) > cmp.Or(u.ForgetDelay, DefaultForgetDelay) {
 			delete(u.leaving, addr)
 		}
 	}
@@ -144,28 +144,28 @@
 	case d == nil && !up.Leaving:
 		return out
 	case d == nil:
-		u.leaving[up.Addr] = &departure{group: up.Group, seen: now}
+		u.leaving[up.Addr] = &leavingUpstream{group: up.Group, lastListed: now}
 		return append(out, Withdraw{Addr: up.Addr, Group: up.Group})
 	}
-	d.seen = now
+	d.lastListed = now
 	switch {
 	case up.Leaving:
-		d.live = time.Time{}
-	case d.live.IsZero():
-		d.live = now
-	case now.Sub(d.live) >= cmp.Or(u.Return, DefaultReturn):
+		d.liveSince = time.Time{}
+	case d.liveSince.IsZero():
+		d.liveSince = now
+	case now.Sub(d.liveSince) >= cmp.Or(u.ReadmitDelay, DefaultReadmitDelay):
 		delete(u.leaving, up.Addr)
 		out = append(out, Readmit{Addr: up.Addr, Group: up.Group})
 	}
 	return out
 }
 
-// primaryIs asks for a move if the primary leaves. It comes again and again with
-// the tracker's view, so a move that was asked for isn't asked for twice.
-func (u *Upstreams) primaryIs(ev PrimaryIs) []UpstreamCommand {
+// leaderReported requests a move if the leader is leaving. It is called again with
+// every update of the tracker, so it does not repeat a request that is pending.
+func (u *Upstreams) leaderReported(ev LeaderReported) []UpstreamCommand {
 	for addr, d := range u.leaving {
 		if d.group == ev.Group && addr != ev.Addr {
-			d.moving = false // it isn't primary now; should it become so again, it is moved again
+			d.moving = false // not the leader now; if it becomes the leader again, another move is requested
 		}
 	}
 	d := u.leaving[ev.Addr]
@@ -173,7 +173,7 @@
 		return nil
 	}
 	d.moving = true
-	return []UpstreamCommand{MovePrimary{Group: ev.Group, From: ev.Addr}}
+	return []UpstreamCommand{MoveLeader{Group: ev.Group, From: ev.Addr}}
 }
 
 func (u *Upstreams) moveFailed(ev MoveFailed) {
@@ -184,7 +184,7 @@
 	}
 }
 
-// Leaving returns the upstreams that leave, sorted.
+// Leaving returns the addresses of the leaving upstreams, sorted.
 func (u *Upstreams) Leaving() []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(u.leaving))
 	for addr := range u.leaving {
--- a/leaver/upstreams_test.go
+++ b/leaver/upstreams_test.go
@@ -20,50 +20,50 @@
 		want []UpstreamCommand // without ReadList
 	}
 	withdraw := []UpstreamCommand{Withdraw{Addr: a, Group: "g"}}
-	move := []UpstreamCommand{MovePrimary{Group: "g", From: a}}
+	move := []UpstreamCommand{MoveLeader{Group: "g", From: a}}
 	tests := []struct {
-		name  string
-		tells string // symptom, sequence, cause
-		steps []step
+		name   string
+		guards string // the failure that the case guards against
+		steps  []step
 	}{
-		{"leaves", "Symptom: work goes to an upstream that leaves.", []step{
+		{"leaves", "An upstream that is leaving gets new work.", []step{
 			{0, list(false), nil},
 			{time.Second, list(true), withdraw},
 			{2 * time.Second, list(true), nil},
 		}},
-		{"lists of different age", "Symptom: an upstream gets work and loses it each second. Sequence: two readers whose lists differ in age.", []step{
+		{"lists of different age", "An upstream is withdrawn and readmitted each second because two readers have lists of different age.", []step{
 			{0, list(true), withdraw},
 			{time.Second, list(false), nil},
 			{2 * time.Second, list(true), nil},
 			{6 * time.Second, list(false), nil},
 			{7 * time.Second, list(true), nil},
 		}},
-		{"comes back", "Symptom: an upstream whose departure was called off stays without work.", []step{
+		{"comes back", "An upstream whose departure was cancelled gets no work.", []step{
 			{0, list(true), withdraw},
 			{time.Second, list(false), nil},
 			{3 * time.Second, list(false), nil},
 			{6 * time.Second, list(false), []UpstreamCommand{Readmit{Addr: a, Group: "g"}}},
 		}},
-		{"list can't be read", "Symptom: an upstream that leaves gets work again in an outage of the platform.", []step{
+		{"list can't be read", "An upstream that is leaving gets work again during an outage of the platform.", []step{
 			{0, list(true), withdraw},
 			{time.Second, ListFailed{}, nil},
 			{time.Minute, ListFailed{}, nil},
 			{61 * time.Second, list(true), nil},
 		}},
-		{"vanishes from the list", "Symptom: work goes to an upstream that has left. Sequence: it is listed as leaving, then not at all.", []step{
+		{"vanishes from the list", "An upstream that has left gets work because it was listed as leaving and then not at all.", []step{
 			{0, list(true), withdraw},
 			{time.Minute, ListRead{Upstreams: []Upstream{{Addr: b, Group: "g"}}}, nil},
 			{11 * time.Minute, ListRead{Upstreams: []Upstream{{Addr: b, Group: "g"}}}, nil},
-			{12 * time.Minute, list(false), nil}, // another one at its address
+			{12 * time.Minute, list(false), nil}, // another upstream at its address
 		}},
-		{"primary leaves", "Symptom: writes fail while the primary leaves, or the group is moved twice.", []step{
-			{0, PrimaryIs{Group: "g", Addr: a}, nil},
+		{"leader leaves", "Writes fail while the leader leaves, or the group is moved twice.", []step{
+			{0, LeaderReported{Group: "g", Addr: a}, nil},
 			{time.Second, list(true), withdraw},
-			{time.Second, PrimaryIs{Group: "g", Addr: a}, move},
-			{2 * time.Second, PrimaryIs{Group: "g", Addr: a}, nil},
+			{time.Second, LeaderReported{Group: "g", Addr: a}, move},
+			{2 * time.Second, LeaderReported{Group: "g", Addr: a}, nil},
 			{3 * time.Second, MoveFailed{Group: "g"}, nil},
-			{4 * time.Second, PrimaryIs{Group: "g", Addr: a}, move},
-			{5 * time.Second, PrimaryIs{Group: "g", Addr: b}, nil},
+			{4 * time.Second, LeaderReported{Group: "g", Addr: a}, move},
+			{5 * time.Second, LeaderReported{Group: "g", Addr: b}, nil},
 		}},
 	}
 	for _, tt := range tests {
@@ -83,11 +83,10 @@
 	}
 }
 
-func TestListIsReadInTime(t *testing.T) {
-	// Symptom: an upstream gets new work more than two seconds after the list
-	// says that it leaves.
-	// Sequence: readings fail or are answered late.
-	// Cause: the next reading waits for the answer to the last one.
+func TestListIsReadEverySecond(t *testing.T) {
+	// Guards against an upstream that still gets new work more than two seconds after the
+	// list has it as leaving: when reads fail or are answered late, the next read must not
+	// wait for the answer to the last one.
 	is := is.New(t)
 	var u Upstreams
 	now := time.Unix(1_800_000_000, 0)
