--- a/leaver/doc.go
+++ b/leaver/doc.go
@@ -22,8 +22,8 @@
 // # Upstreams that leave
 //
 // [Upstreams] reads the platform's list every second. An upstream that is listed
-// as leaving gets no new work from then on. If it is the leader, the group first moves
-// to another leader, and writes are held meanwhile. The upstream gets work again
+// as leaving gets no new work from then on. If it is the primary, the group first moves
+// to another primary, and writes are held meanwhile. The upstream gets work again
 // only after it has been listed as live for some time without interruption, because
 // lists from different readers can differ in age.
 //
--- a/leaver/upstreams.go
+++ b/leaver/upstreams.go
@@ -49,20 +49,20 @@
 // ListFailed says that the list could not be read.
 type ListFailed struct{}
 
-// LeaderReported says which upstream is the leader of a group.
-type LeaderReported struct {
+// PrimaryReported says which upstream is the primary of a group.
+type PrimaryReported struct {
 	Group string
 	Addr  netip.AddrPort
 }
 
-// MoveFailed says that the group's leader could not be moved.
+// MoveFailed says that the group's primary could not be moved.
 type MoveFailed struct{ Group string }
 
-func (ListRead) upstreamEvent()       {}
-func (ListFailed) upstreamEvent()     {}
-func (LeaderReported) upstreamEvent() {}
-func (MoveFailed) upstreamEvent()     {}
-func (Tick) upstreamEvent()           {}
+func (ListRead) upstreamEvent()        {}
+func (ListFailed) upstreamEvent()      {}
+func (PrimaryReported) upstreamEvent() {}
+func (MoveFailed) upstreamEvent()      {}
+func (Tick) upstreamEvent()            {}
 
 // UpstreamCommand is something that the owner of Upstreams has to do.
 type UpstreamCommand interface{ upstreamCommand() }
@@ -83,17 +83,17 @@
 	Group string
 }
 
-// MoveLeader requests a planned change of the group's leader away from From. Writes are
+// MovePrimary requests a planned change of the group's primary away from From. Writes are
 // held meanwhile.
-type MoveLeader struct {
+type MovePrimary struct {
 	Group string
 	From  netip.AddrPort
 }
 
-func (ReadList) upstreamCommand()   {}
-func (Withdraw) upstreamCommand()   {}
-func (Readmit) upstreamCommand()    {}
-func (MoveLeader) upstreamCommand() {}
+func (ReadList) upstreamCommand()    {}
+func (Withdraw) upstreamCommand()    {}
+func (Readmit) upstreamCommand()     {}
+func (MovePrimary) upstreamCommand() {}
 
 // Next returns when Handle needs a Tick. It is zero before the first Handle.
 func (u *Upstreams) Next() time.Time { return u.nextRead }
@@ -107,8 +107,8 @@
 	switch ev := ev.(type) {
 	case ListRead:
 		out = u.listRead(ev, now)
-	case LeaderReported:
-		out = u.leaderReported(ev)
+	case PrimaryReported:
+		out = u.primaryReported(ev)
 	case MoveFailed:
 		u.moveFailed(ev)
 	case ListFailed, Tick:
@@ -160,12 +160,12 @@
 	return out
 }
 
-// leaderReported requests a move if the leader is leaving. It is called again with
+// primaryReported requests a move if the primary is leaving. It is called again with
 // every update of the tracker, so it does not repeat a request that is pending.
-func (u *Upstreams) leaderReported(ev LeaderReported) []UpstreamCommand {
+func (u *Upstreams) primaryReported(ev PrimaryReported) []UpstreamCommand {
 	for addr, d := range u.leaving {
 		if d.group == ev.Group && addr != ev.Addr {
-			d.moving = false // not the leader now; if it becomes the leader again, another move is requested
+			d.moving = false // not the primary now; if it becomes the primary again, another move is requested
 		}
 	}
 	d := u.leaving[ev.Addr]
@@ -173,7 +173,7 @@
 		return nil
 	}
 	d.moving = true
-	return []UpstreamCommand{MoveLeader{Group: ev.Group, From: ev.Addr}}
+	return []UpstreamCommand{MovePrimary{Group: ev.Group, From: ev.Addr}}
 }
 
 func (u *Upstreams) moveFailed(ev MoveFailed) {
--- a/leaver/upstreams_test.go
+++ b/leaver/upstreams_test.go
@@ -20,7 +20,7 @@
 		want []UpstreamCommand // without ReadList
 	}
 	withdraw := []UpstreamCommand{Withdraw{Addr: a, Group: "g"}}
-	move := []UpstreamCommand{MoveLeader{Group: "g", From: a}}
+	move := []UpstreamCommand{MovePrimary{Group: "g", From: a}}
 	tests := []struct {
 		name   string
 		guards string // the failure that the case guards against
@@ -56,14 +56,14 @@
 			{11 * time.Minute, ListRead{Upstreams: []Upstream{{Addr: b, Group: "g"}}}, nil},
 			{12 * time.Minute, list(false), nil}, // another upstream at its address
 		}},
-		{"leader leaves", "Writes fail while the leader leaves, or the group is moved twice.", []step{
-			{0, LeaderReported{Group: "g", Addr: a}, nil},
+		{"primary leaves", "Writes fail while the primary leaves, or the group is moved twice.", []step{
+			{0, PrimaryReported{Group: "g", Addr: a}, nil},
 			{time.Second, list(true), withdraw},
-			{time.Second, LeaderReported{Group: "g", Addr: a}, move},
-			{2 * time.Second, LeaderReported{Group: "g", Addr: a}, nil},
+			{time.Second, PrimaryReported{Group: "g", Addr: a}, move},
+			{2 * time.Second, PrimaryReported{Group: "g", Addr: a}, nil},
 			{3 * time.Second, MoveFailed{Group: "g"}, nil},
-			{4 * time.Second, LeaderReported{Group: "g", Addr: a}, move},
-			{5 * time.Second, LeaderReported{Group: "g", Addr: b}, nil},
+			{4 * time.Second, PrimaryReported{Group: "g", Addr: a}, move},
+			{5 * time.Second, PrimaryReported{Group: "g", Addr: b}, nil},
 		}},
 	}
 	for _, tt := range tests {
