--- a/overseer/doc.go
+++ b/overseer/doc.go
@@ -1,23 +1,23 @@
-// Package overseer keeps each database group with a leader that works: it puts
-// together what this process and its peers see of the leader, holds or takes the
-// duty of replacing it, and carries out what package replacer decides.
+// Package overseer keeps a working leader in each database group. It combines what
+// this process and its peers observe of the leader, holds or claims the lease for
+// replacing it, and executes the decisions of package replacer.
 //
-// # The duty
+// # The lease
 //
-// One process at a time may replace the leader of a group. Its name and a token
-// stand in an object of the store, changed by conditional update only; the token
-// rises with each holder. Nothing is written while a holder lives: it tells its
-// peers by gossip, and the first live process in the rendezvous order of the
-// group takes the duty over when no holder has been heard for a while. So a
-// change of leader needs no store while a holder lives, and a store that is away
-// costs only the groups whose holders died with it.
+// Only one process at a time may replace the leader of a group: the lease holder. Its
+// name and a fencing token are stored in an object that is changed by conditional
+// updates only; the token rises with each holder. A live holder writes nothing to the
+// store: it announces itself to its peers by gossip. When no holder has been seen for a
+// while, the first live process in the rendezvous order of the group claims the lease.
+// So a change of leader needs no store while a holder lives, and an outage of the store
+// affects only groups whose holders died during it.
 //
-// # Trouble
+// # Faults of a leader
 //
-// A leader is dead when it doesn't answer this process and not most of its peers
-// either, or when its commits aren't acknowledged here and elsewhere. A leader
-// that this process reaches and many peers don't is replaced as planned, and so is
-// one that answers and fails much of what callers want of it.
+// A leader is dead when it answers neither this process nor most of its peers, or when
+// its commits are not acknowledged here and elsewhere. A leader that this process reaches
+// but many peers do not is replaced by a planned change, and so is one that answers and
+// fails many of the requests of callers.
 //
 // # Usage
 //
--- a/overseer/restore_test.go
+++ b/overseer/restore_test.go
@@ -22,50 +22,50 @@
 	"basildale.example/basildale/versioner"
 )
 
-// drilled is a store of one duty that is restored now and then, under calls that are
-// lost or carried out late, and the processes that claim the duty.
-type drilled struct {
+// restoredStore simulates a store with one lease that is restored from time to time, with
+// calls that are lost or carried out late, and the processes that claim the lease.
+type restoredStore struct {
 	rng       *rand.Rand
 	era       uint64
 	revision  uint64
-	log       []written
-	late      []written // carried out some time, if the condition holds then
+	writes    []recordWrite
+	delayed   []recordWrite // carried out later, if the condition holds then
 	claimants []*Overseer
 	nested    int
 
-	moment int
-	claims []outcome
-	seen   uint64 // the highest token that the platform has seen
-	orders []int  // those that it carried out, by the claim that they were given under
+	clock         int
+	claims        []successfulClaim
+	platformToken uint64 // the highest token that the platform has seen
+	orders        []int  // indices in claims of the orders that the platform carried out
 }
 
-// written is the record of the duty at a revision, and the one that it replaces.
-type written struct {
+// recordWrite is a write of the lease record: its revision, and the revision that it replaces.
+type recordWrite struct {
 	revision uint64
 	match    uint64
 	value    json.RawMessage
 }
 
-// outcome is a claim that succeeded, and when it began and ended.
-type outcome struct {
+// successfulClaim is a claim that succeeded, and when it began and ended.
+type successfulClaim struct {
 	holder     string
 	token      uint64
 	began, end int
 }
 
-var errLost = errors.New("lost on the way")
+var errLost = errors.New("answer lost")
 
-func newDrilled(seed uint64) *drilled {
-	d := &drilled{rng: rand.New(rand.NewPCG(seed, 31)), era: 1}
+func newRestoredStore(seed uint64) *restoredStore {
+	d := &restoredStore{rng: rand.New(rand.NewPCG(seed, 31)), era: 1}
 	for i := range 3 {
 		client := &keeper.Client{Addrs: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")}, Transport: d, Rate: 1e9, Burst: 1e9}
-		d.claimants = append(d.claimants, &Overseer{Name: fmt.Sprint("p", i), Start: 1, Store: client, Era: d.told})
+		d.claimants = append(d.claimants, &Overseer{Name: fmt.Sprint("p", i), Start: 1, Store: client, Era: d.knownEra})
 	}
 	return d
 }
 
-// told is the latest era that any of the processes knows, as they tell one another.
-func (d *drilled) told() uint64 {
+// knownEra is the latest era that any of the processes knows; they share it by gossip.
+func (d *restoredStore) knownEra() uint64 {
 	era := uint64(0)
 	for _, o := range d.claimants {
 		era = max(era, o.Store.Era())
@@ -73,44 +73,44 @@
 	return era
 }
 
-func (d *drilled) held() written {
-	if len(d.log) == 0 {
-		return written{}
+func (d *restoredStore) current() recordWrite {
+	if len(d.writes) == 0 {
+		return recordWrite{}
 	}
-	return d.log[len(d.log)-1]
+	return d.writes[len(d.writes)-1]
 }
 
-// put carries a write out if its condition holds.
-func (d *drilled) put(w written) bool {
-	if w.match != d.held().revision {
+// apply carries out a write if its condition holds.
+func (d *restoredStore) apply(w recordWrite) bool {
+	if w.match != d.current().revision {
 		return false
 	}
 	d.revision++
 	w.revision = d.revision
-	d.log = append(d.log, w)
+	d.writes = append(d.writes, w)
 	return true
 }
 
-// drill restores the store to a revision that is drawn.
-func (d *drilled) drill() {
+// restore restores the store to a random revision.
+func (d *restoredStore) restore() {
 	d.era++
 	d.revision = uint64(d.rng.Int64N(int64(d.revision) + 1))
-	for len(d.log) > 0 && d.held().revision > d.revision {
-		d.log = d.log[:len(d.log)-1]
+	for len(d.writes) > 0 && d.current().revision > d.revision {
+		d.writes = d.writes[:len(d.writes)-1]
 	}
 }
 
-// meanwhile is what others do before and after a call is carried out.
-func (d *drilled) meanwhile() {
+// interfere does at random what others may do before or after a call.
+func (d *restoredStore) interfere() {
 	switch d.rng.IntN(8) {
 	case 0:
-		d.drill()
+		d.restore()
 	case 1:
 		d.revision++ // another object changes
 	case 2:
-		if len(d.late) > 0 {
-			d.put(d.late[0])
-			d.late = d.late[1:]
+		if len(d.delayed) > 0 {
+			d.apply(d.delayed[0])
+			d.delayed = d.delayed[1:]
 		}
 	case 3:
 		if d.nested < 3 {
@@ -121,45 +121,45 @@
 	}
 }
 
-func (d *drilled) claim(o *Overseer) {
-	d.moment++
-	began := d.moment
+func (d *restoredStore) claim(o *Overseer) {
+	d.clock++
+	began := d.clock
 	c := o.claim(context.Background(), "g")
-	d.moment++
+	d.clock++
 	if c.err == nil {
-		d.claims = append(d.claims, outcome{o.Name, c.token, began, d.moment})
+		d.claims = append(d.claims, successfulClaim{o.Name, c.token, began, d.clock})
 	}
 }
 
-// order has a holder give an order under a claim that it once had, which the platform
-// carries out unless it has seen a higher token.
-func (d *drilled) order() {
+// order sends a promotion order under a random earlier claim. The platform carries it out
+// unless it has seen a higher token.
+func (d *restoredStore) order() {
 	if len(d.claims) == 0 {
 		return
 	}
 	i := d.rng.IntN(len(d.claims))
 	token := d.claims[i].token + uint64(d.rng.IntN(replacer.TokenBlockSize))
-	if token < d.seen {
+	if token < d.platformToken {
 		return
 	}
-	d.seen = token
+	d.platformToken = token
 	d.orders = append(d.orders, i)
 }
 
-// RoundTrip carries a call out, or loses it or its answer.
-func (d *drilled) RoundTrip(req *http.Request) (*http.Response, error) {
+// RoundTrip carries out a call, or loses the call or its answer.
+func (d *restoredStore) RoundTrip(req *http.Request) (*http.Response, error) {
 	if trace := httptrace.ContextClientTrace(req.Context()); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
-	d.meanwhile()
+	d.interfere()
 	status, body, era := d.serve(req)
-	d.meanwhile()
+	d.interfere()
 	if d.rng.IntN(6) == 0 {
 		return nil, errLost
 	}
 	resp := &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body)), Request: req}
 	switch d.rng.IntN(20) {
-	case 0: // without an era
+	case 0: // no era header
 	case 1:
 		resp.Header.Set(keeper.EraHeader, "broken")
 	default:
@@ -168,13 +168,13 @@
 	return resp, nil
 }
 
-func (d *drilled) serve(req *http.Request) (int, []byte, uint64) {
+func (d *restoredStore) serve(req *http.Request) (int, []byte, uint64) {
 	if req.Method == http.MethodGet {
-		return d.answer(d.held(), http.StatusNotFound)
+		return d.answer(d.current(), http.StatusNotFound)
 	}
 	match, err := strconv.ParseUint(req.Header.Get("If-Match"), 10, 64)
 	if err != nil {
-		panic(err) // the client's own
+		panic(err) // sent by the client, so always valid
 	}
 	var in struct {
 		Value json.RawMessage `json:"value"`
@@ -182,35 +182,35 @@
 	if err := json.NewDecoder(req.Body).Decode(&in); err != nil {
 		panic(err)
 	}
-	w := written{match: match, value: in.Value}
+	w := recordWrite{match: match, value: in.Value}
 	if d.rng.IntN(8) == 0 {
-		d.late = append(d.late, w)
+		d.delayed = append(d.delayed, w)
 		return http.StatusGatewayTimeout, nil, d.era
 	}
-	if !d.put(w) {
-		status, body, era := d.answer(d.held(), http.StatusConflict)
+	if !d.apply(w) {
+		status, body, era := d.answer(d.current(), http.StatusConflict)
 		if status == http.StatusOK {
 			status = http.StatusConflict
 		}
 		return status, body, era
 	}
-	return d.answer(d.held(), http.StatusOK)
+	return d.answer(d.current(), http.StatusOK)
 }
 
-// answer states the record, or a status where there is none.
-func (d *drilled) answer(w written, without int) (int, []byte, uint64) {
+// answer returns the record, or a status where there is none.
+func (d *restoredStore) answer(w recordWrite, without int) (int, []byte, uint64) {
 	if w.revision == 0 {
 		return without, []byte(`{}`), d.era
 	}
-	body, err := json.Marshal(keeper.Object{Kind: kind, Name: "g", Version: w.revision, Value: w.value})
+	body, err := json.Marshal(keeper.Object{Kind: leaseKind, Name: "g", Version: w.revision, Value: w.value})
 	if err != nil {
 		panic(err)
 	}
 	return http.StatusOK, body, d.era
 }
 
-// wrong says what is wrong with the tokens that were given out; empty if nothing is.
-func (d *drilled) wrong() string {
+// violation describes what is wrong with the issued tokens; empty when nothing is.
+func (d *restoredStore) violation() string {
 	for i, a := range d.claims {
 		for _, b := range d.claims[i+1:] {
 			if a.token/replacer.TokenBlockSize == b.token/replacer.TokenBlockSize {
@@ -231,56 +231,56 @@
 	return ""
 }
 
-// steps are what may happen at a time.
-func (d *drilled) steps() []func() {
+// steps returns the operations that may happen at any time.
+func (d *restoredStore) steps() []func() {
 	return []func(){
 		func() { d.claim(d.claimants[0]) },
 		func() { d.claim(d.claimants[1]) },
 		d.order,
 		func() { d.revision++ }, // a write of another object
-		d.meanwhile,
+		d.interfere,
 	}
 }
 
-// Guards against steps whose order a restore between them turns round.
-func TestEachPairOfStepsAroundRestores(t *testing.T) {
+// Guards against steps that a restore between them puts in the wrong order.
+func TestStepPairsAroundRestores(t *testing.T) {
 	const draws = 100 // of each pair
 	is := is.New(t)
-	steps := len(newDrilled(0).steps())
+	steps := len(newRestoredStore(0).steps())
 	for pair := range steps * steps {
-		for drills := 1; drills <= 2; drills++ {
+		for restores := 1; restores <= 2; restores++ {
 			for seed := range uint64(draws) {
-				d := newDrilled(uint64(pair)<<32 | uint64(drills)<<16 | seed)
+				d := newRestoredStore(uint64(pair)<<32 | uint64(restores)<<16 | seed)
 				d.claim(d.claimants[2])
 				d.steps()[pair/steps]()
-				for range drills {
-					d.drill()
+				for range restores {
+					d.restore()
 				}
 				d.steps()[pair%steps]()
 				d.claim(d.claimants[2])
 				d.order()
-				is.Equal(d.wrong(), "")
+				is.Equal(d.violation(), "")
 			}
 		}
 	}
 }
 
 // Guards against two holders of one token, and against a later holder whose orders the
-// platform refuses for those of an earlier one, over restores of the store.
+// platform rejects because of an earlier holder's token, when the store is restored.
 func TestTokensRiseOverRestores(t *testing.T) {
 	const histories = 12_000
 	is := is.New(t)
 	taken := 0
 	for seed := range uint64(histories) {
-		d := newDrilled(seed)
+		d := newRestoredStore(seed)
 		for range 2 + d.rng.IntN(6) {
-			d.meanwhile()
+			d.interfere()
 			d.claim(d.claimants[d.rng.IntN(len(d.claimants))])
 			d.order()
 		}
 		taken += len(d.claims)
-		if wrong := d.wrong(); wrong != "" {
-			t.Fatalf("history %d: %s", seed, wrong)
+		if violation := d.violation(); violation != "" {
+			t.Fatalf("history %d: %s", seed, violation)
 		}
 	}
 	t.Logf("%d claims of %d histories succeeded", taken, histories)
@@ -313,24 +313,24 @@
 	is.True(err != nil)
 }
 
-// Guards against a holder whose record a restore has taken away, and that keeps a token
-// which another can't outbid in time.
-func TestAHolderTakesTheDutyAnewAfterARestore(t *testing.T) {
+// Guards against a holder whose record was lost in a restore and that keeps a token which
+// another process cannot exceed in time.
+func TestHolderReclaimsLeaseAfterRestore(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	era := uint64(1)
 	token, err := tokenOf(versioner.Version{Era: 1, Revision: 7})
 	is.NoErr(err)
 	o := &Overseer{Era: func() uint64 { return era }, Leaving: func() bool { return false }}
-	g := &group{duty: duty{token: token}}
-	is.True(!o.renews(g, now))
+	g := &group{lease: lease{token: token}}
+	is.True(!o.shouldReclaim(g, now))
 	era = 2
-	is.True(o.renews(g, now))
-	g.duty.claiming = true
-	is.True(!o.renews(g, now)) // it is doing so
-	g.duty.claiming = false
-	g.duty.next = now.Add(time.Second)
-	is.True(!o.renews(g, now))
-	g.duty = duty{}
-	is.True(!o.renews(g, now)) // it has no duty
+	is.True(o.shouldReclaim(g, now))
+	g.lease.claiming = true
+	is.True(!o.shouldReclaim(g, now)) // a claim is in progress
+	g.lease.claiming = false
+	g.lease.nextClaim = now.Add(time.Second)
+	is.True(!o.shouldReclaim(g, now))
+	g.lease = lease{}
+	is.True(!o.shouldReclaim(g, now)) // it holds no lease
 }
--- a/overseer/view.go
+++ b/overseer/view.go
@@ -8,19 +8,20 @@
 	"basildale.example/basildale/replacer"
 )
 
-// state returns what this process says of a group. It says nothing of groups that
-// it neither carries for nor has the duty for: that would be most of a datagram.
-func (o *Overseer) state(g *group, leader string) gossiper.GroupState {
+// groupState returns what this process reports of a group. Groups for which it is neither a
+// gateway nor the lease holder are left out: they would fill most of a datagram.
+func (o *Overseer) groupState(g *group, leader string) gossiper.GroupState {
 	fenced, term := g.replacer.FenceTarget()
 	return gossiper.GroupState{
-		Leader: leader, LeaderFault: trouble(g.carried.Observe()), IsGateway: g.carried.IsGateway(),
-		Token: g.duty.token, FencedLeader: fenced, FenceTerm: term,
+		Leader: leader, LeaderFault: faultOf(g.carrierGroup.Observe()), IsGateway: g.carrierGroup.IsGateway(),
+		Token: g.lease.token, FencedLeader: fenced, FenceTerm: term,
 	}
 }
 
-// telling reports whether peers should hear of the new states at once: who votes
-// on a leader, holds a duty, or carries for others, has changed.
-func telling(before, after map[string]gossiper.GroupState) bool {
+// needsNotify reports whether peers should receive the new states at once: the fault that this
+// process sees in a leader, its lease, the leader it fences or whether it is a gateway has
+// changed.
+func needsNotify(before, after map[string]gossiper.GroupState) bool {
 	for name, state := range after {
 		old := before[name]
 		if old.LeaderFault != state.LeaderFault || old.Token != state.Token || old.FencedLeader != state.FencedLeader || old.IsGateway != state.IsGateway {
@@ -30,7 +31,7 @@
 	return false
 }
 
-func trouble(v carrier.Observation) gossiper.LeaderFault {
+func faultOf(v carrier.Observation) gossiper.LeaderFault {
 	switch {
 	case v.Isolated:
 		return gossiper.Isolated
@@ -45,45 +46,45 @@
 	}
 }
 
-// view puts together what this process and its peers see of a group.
+// view combines what this process and its peers see of a group.
 func (o *Overseer) view(g *group, peers []gossiper.Peer, now time.Time) replacer.View {
-	seen := g.carried.Observe()
-	bad, failing, voters := votes(g.carried.Name(), peers)
-	own := trouble(seen)
-	if own == gossiper.Failing {
+	seen := g.carrierGroup.Observe()
+	unusable, failing, voters := countVotes(g.carrierGroup.Name(), peers)
+	ownFault := faultOf(seen)
+	if ownFault == gossiper.Failing {
 		failing++
 	}
-	if g.excuses(seen.Leader, failing > 0, now) {
+	if g.inFailingCooldown(seen.Leader, failing > 0, now) {
 		failing = 0
 	}
-	if !g.carried.IsGateway() {
-		return replacer.View{} // it sees nothing of the group itself
+	if !g.carrierGroup.IsGateway() {
+		return replacer.View{} // it has no connections to the group
 	}
-	if !own.IsLeaderReachable() && 2*(bad+1) > voters+1 {
-		g.bad = first(g.bad, now)
+	if !ownFault.IsLeaderReachable() && 2*(unusable+1) > voters+1 {
+		g.deadSince = sinceOrNow(g.deadSince, now)
 	} else {
-		g.bad = time.Time{}
+		g.deadSince = time.Time{}
 	}
-	if own.IsLeaderReachable() && 5*(bad+failing) >= 2*(voters+1) {
-		if g.missed.IsZero() {
-			go g.carried.VerifyLeader()
+	if ownFault.IsLeaderReachable() && 5*(unusable+failing) >= 2*(voters+1) {
+		if g.degradedSince.IsZero() {
+			go g.carrierGroup.VerifyLeader()
 		}
-		g.missed = first(g.missed, now)
+		g.degradedSince = sinceOrNow(g.degradedSince, now)
 	} else {
-		g.missed = time.Time{}
+		g.degradedSince = time.Time{}
 	}
-	settled := now.Sub(o.begun) > settling
+	settled := now.Sub(o.activeSince) > startupGracePeriod
 	v := replacer.View{
 		Leader:           seen.Leader,
 		LeaderAnswers:    seen.LeaderAnswers,
-		Dead:             settled && lasted(g.bad, now, dwell),
-		CommitStalled:    own == gossiper.CommitStalled,
-		ReachedByPeer:    reached(g.carried.Name(), seen.Leader, peers, now),
+		Dead:             settled && lasted(g.deadSince, now, deadThreshold),
+		CommitStalled:    ownFault == gossiper.CommitStalled,
+		ReachedByPeer:    reachedByPeer(g.carrierGroup.Name(), seen.Leader, peers, now),
 		MinReceived:      seen.MinReceived,
-		LeaderDegraded:   settled && lasted(g.missed, now, shunned),
-		LeaderOverloaded: settled && g.relieves(seen, now),
+		LeaderDegraded:   settled && lasted(g.degradedSince, now, degradedThreshold),
+		LeaderOverloaded: settled && g.shouldReplaceOverloaded(seen, now),
 		Term:             seen.Term,
-		Token:            g.duty.token,
+		Token:            g.lease.token,
 
 		Partitioned: o.IsPartitioned != nil && o.IsPartitioned(),
 	}
@@ -93,34 +94,34 @@
 	return v
 }
 
-// relieves reports whether the leader is to be replaced because it is alone with more
-// work than it can do. Upstreams apply commits in order, so that one replica that is
-// late with one commit serves no reads until that is done, long after what
-// made it late has ended. The one that is promoted leads with all that it has
-// received, and the former leader, whose log is complete, is a replica that isn't late.
-func (g *group) relieves(seen carrier.Observation, now time.Time) bool {
+// shouldReplaceOverloaded reports whether the leader should be replaced because it is
+// overloaded and no replica can help. Upstreams apply commits in order, so that one replica
+// that lags on a single commit serves no reads until that commit is applied, long after the
+// cause of the lag has ended. The promoted replica leads with everything it has received, and
+// the former leader, whose log is complete, becomes a replica without lag.
+func (g *group) shouldReplaceOverloaded(seen carrier.Observation, now time.Time) bool {
 	if !seen.LeaderOverloaded {
-		g.alone = time.Time{}
+		g.overloadedSince = time.Time{}
 		return false
 	}
-	g.alone = first(g.alone, now)
-	since := now.Sub(g.relieved)
-	if !lasted(g.alone, now, alone) || !g.relieved.IsZero() && since < g.pause {
+	g.overloadedSince = sinceOrNow(g.overloadedSince, now)
+	since := now.Sub(g.overloadReplacedAt)
+	if !lasted(g.overloadedSince, now, overloadThreshold) || !g.overloadReplacedAt.IsZero() && since < g.overloadCooldown {
 		return false
 	}
-	if g.duty.token == 0 {
-		return true // the holder decides
+	if g.lease.token == 0 {
+		return true // the lease holder decides
 	}
-	if g.relieved.IsZero() || since > 2*g.pause {
-		g.pause = relieved
+	if g.overloadReplacedAt.IsZero() || since > 2*g.overloadCooldown {
+		g.overloadCooldown = minOverloadCooldown
 	} else {
-		g.pause = min(2*g.pause, mostRelieved)
+		g.overloadCooldown = min(2*g.overloadCooldown, maxOverloadCooldown)
 	}
-	g.relieved = now
+	g.overloadReplacedAt = now
 	return true
 }
 
-func first(t, now time.Time) time.Time {
+func sinceOrNow(t, now time.Time) time.Time {
 	if t.IsZero() {
 		return now
 	}
@@ -131,19 +132,19 @@
 	return !since.IsZero() && now.Sub(since) >= d
 }
 
-// excuses reports whether a leader that fails is left alone, since one that failed
-// was replaced a while ago. failing says that somebody sees the present one fail.
-func (g *group) excuses(leader string, failing bool, now time.Time) bool {
-	if g.leader != "" && leader != g.leader && g.failed {
-		g.blamed = now
-	}
-	g.leader, g.failed = leader, failing
-	return !g.blamed.IsZero() && now.Sub(g.blamed) < excused
+// inFailingCooldown reports whether a failing leader is kept because a failing leader was
+// replaced recently. failing says that this process or a peer sees the present leader fail.
+func (g *group) inFailingCooldown(leader string, failing bool, now time.Time) bool {
+	if g.lastLeader != "" && leader != g.lastLeader && g.leaderFailed {
+		g.failingReplacedAt = now
+	}
+	g.lastLeader, g.leaderFailed = leader, failing
+	return !g.failingReplacedAt.IsZero() && now.Sub(g.failingReplacedAt) < failingCooldown
 }
 
-// votes counts the peers that don't reach a group's leader or can't write there,
-// those that see it fail, and all peers that know the group.
-func votes(name string, peers []gossiper.Peer) (bad, failing, voters int) {
+// countVotes counts the peers that do not reach a group's leader or cannot write to it, those
+// that see it fail, and all peers that vote: the gateways for the group that are not leaving.
+func countVotes(name string, peers []gossiper.Peer) (unusable, failing, voters int) {
 	for _, p := range peers {
 		state, knows := p.Groups[name]
 		if !knows || p.Leaving || !state.IsGateway {
@@ -154,17 +155,17 @@
 		case state.LeaderFault == gossiper.Failing:
 			failing++
 		case state.LeaderFault != gossiper.NoFault:
-			bad++
+			unusable++
 		}
 	}
-	return bad, failing, voters
+	return unusable, failing, voters
 }
 
-// reached reports whether a peer that was heard lately reaches the leader.
-func reached(name, leader string, peers []gossiper.Peer, now time.Time) bool {
+// reachedByPeer reports whether a recently seen peer reaches the leader.
+func reachedByPeer(name, leader string, peers []gossiper.Peer, now time.Time) bool {
 	for _, p := range peers {
 		state, knows := p.Groups[name]
-		if now.Sub(p.LastSeen) < lately && knows && state.IsGateway && state.Leader == leader && state.LeaderFault.IsLeaderReachable() {
+		if now.Sub(p.LastSeen) < maxPeerStateAge && knows && state.IsGateway && state.Leader == leader && state.LeaderFault.IsLeaderReachable() {
 			return true
 		}
 	}
--- a/overseer/view_test.go
+++ b/overseer/view_test.go
@@ -9,43 +9,44 @@
 	"basildale.example/basildale/carrier"
 )
 
-// A leader must have been alone for a while before it is replaced for that, and the
-// next one isn't at once: where all replicas are late for good, each change would cost a
-// second of the group's writes and mend nothing.
-func TestALeaderIsRelievedOnceInAWhile(t *testing.T) {
+// A leader must have been overloaded, without a replica that can help, for a while before it
+// is replaced for that, and its successor must not be replaced at once: where all replicas lag
+// permanently, each change would cost a second of the group's writes and help nothing.
+func TestOverloadReplacementsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	g := &group{duty: duty{token: 7}}
+	g := &group{lease: lease{token: 7}}
 	seen := carrier.Observation{LeaderOverloaded: true}
-	is.True(!g.relieves(seen, now))
-	is.True(!g.relieves(carrier.Observation{}, now.Add(alone))) // it wasn't all the while
-	is.True(!g.relieves(seen, now.Add(alone)))
-	is.True(g.relieves(seen, now.Add(2*alone)))
-	is.True(!g.relieves(seen, now.Add(3*alone)))
-	is.True(!g.relieves(seen, now.Add(2*alone+relieved-1)))
-	is.True(g.relieves(seen, now.Add(2*alone+relieved)))
+	is.True(!g.shouldReplaceOverloaded(seen, now))
+	is.True(!g.shouldReplaceOverloaded(carrier.Observation{}, now.Add(overloadThreshold))) // it was not overloaded all the time
+	is.True(!g.shouldReplaceOverloaded(seen, now.Add(overloadThreshold)))
+	is.True(g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold)))
+	is.True(!g.shouldReplaceOverloaded(seen, now.Add(3*overloadThreshold)))
+	is.True(!g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold+minOverloadCooldown-1)))
+	is.True(g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold+minOverloadCooldown)))
 
-	// It hasn't helped, so the next one is later.
-	is.True(!g.relieves(seen, now.Add(2*alone+2*relieved)))
-	is.True(g.relieves(seen, now.Add(2*alone+3*relieved)))
-	is.True(!g.relieves(seen, now.Add(2*alone+6*relieved)))
+	// The change has not helped, so the cooldown doubles.
+	is.True(!g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold+2*minOverloadCooldown)))
+	is.True(g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold+3*minOverloadCooldown)))
+	is.True(!g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold+6*minOverloadCooldown)))
 
-	// After a long time without trouble all is as at first.
+	// After a long time without overload the cooldown is back at its minimum.
 	later := now.Add(time.Hour)
-	is.True(!g.relieves(carrier.Observation{}, later))
-	is.True(!g.relieves(seen, later))
-	is.True(g.relieves(seen, later.Add(alone)))
-	is.True(g.relieves(seen, later.Add(alone+relieved)))
+	is.True(!g.shouldReplaceOverloaded(carrier.Observation{}, later))
+	is.True(!g.shouldReplaceOverloaded(seen, later))
+	is.True(g.shouldReplaceOverloaded(seen, later.Add(overloadThreshold)))
+	is.True(g.shouldReplaceOverloaded(seen, later.Add(overloadThreshold+minOverloadCooldown)))
 }
 
-// A process that sees it without holding the duty keeps nothing back from the holder.
-func TestOnlyTheHolderCountsARelief(t *testing.T) {
+// A process that sees the overload without holding the lease starts no cooldown that would
+// hold it back once it becomes the holder.
+func TestOnlyLeaseHolderStartsOverloadCooldown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := &group{}
 	seen := carrier.Observation{LeaderOverloaded: true}
-	is.True(!g.relieves(seen, now))
-	is.True(g.relieves(seen, now.Add(alone)))
-	g.duty.token = 7
-	is.True(g.relieves(seen, now.Add(2*alone)))
+	is.True(!g.shouldReplaceOverloaded(seen, now))
+	is.True(g.shouldReplaceOverloaded(seen, now.Add(overloadThreshold)))
+	g.lease.token = 7
+	is.True(g.shouldReplaceOverloaded(seen, now.Add(2*overloadThreshold)))
 }
