--- a/conductor/doc.go
+++ b/conductor/doc.go
@@ -1,18 +1,18 @@
-// Package conductor is a caller's session, without any wire: it knows which
-// values and prepared statements the session has, whether a transaction is open,
-// and what each statement needs of the upstreams.
+// Package conductor implements the session of a caller, independent of the wire
+// protocol: it keeps the session values and prepared statements and the transaction
+// state, and decides what each statement requires of the upstreams.
 //
-// Beginning a transaction costs nothing until its first statement, which package
-// carrier then places. Session values and prepared statements are kept here and
-// follow the session to whatever connection a statement gets.
+// BEGIN uses no upstream; package carrier chooses one at the first statement of the
+// transaction. Session values and prepared statements are kept here and follow the
+// session to whichever connection a statement gets.
 //
-// A Session handles one statement at a time. Abandon may be called at any time:
-// the caller has left.
+// A Session handles one statement at a time. Close may be called at any time, when the
+// caller has disconnected.
 //
 // # Usage
 //
-//	s := &conductor.Session{Database: name, Routes: routes, Groups: groups, Now: now}
+//	s := &conductor.Session{Database: name, View: view, Group: group, Now: now, Log: log}
 //	reply := s.Handle(statement, arrived)
 //	write(reply)
-//	s.After() // what needn't keep the caller waiting
+//	s.RollbackEnded() // after the reply, so that the caller does not wait
 package conductor
--- a/conductor/identity.go
+++ b/conductor/identity.go
@@ -7,32 +7,32 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// scope is where a statement or transaction runs, and whose it is.
+// scope is the route of a statement or transaction, and the workspace that it belongs to.
 type scope struct {
 	route     cataloger.Route
 	workspace string
 }
 
-// enter returns the scope of a statement that begins now, by the configuration in
-// force, or the refusal of a caller whose database or key it doesn't know.
-func (s *Session) enter() (scope, Reply) {
+// resolveScope returns the scope of a statement that begins now, according to the
+// configuration in force, or the refusal when the database or the key is unknown.
+func (s *Session) resolveScope() (scope, Reply) {
 	view := s.View()
 	route, ok := view.Route(s.Database)
 	if !ok {
-		return scope{}, failure(carrier.NoDatabase, "no route to the database "+s.Database)
+		return scope{}, errorReply(carrier.NoDatabase, "no route to the database "+s.Database)
 	}
 	workspace, ok := view.Identify(&route, s.Key)
 	if !ok {
 		s.logUnknown(view.Config.Version)
-		return scope{}, reply(forbidden())
+		return scope{}, replyFrom(forbiddenAnswer())
 	}
 	return scope{route, workspace}, Reply{}
 }
 
-// revoked reports whether the key of the open transaction's caller isn't its workspace's
-// any more. Left open until its end, a transaction could go on for as long as its
-// caller sends something, with a key that was taken away.
-func (s *Session) revoked() bool {
+// isKeyRevoked reports whether the key of the caller no longer belongs to the workspace of the
+// open transaction. If this were not checked before the end of the transaction, a caller could
+// keep it going with a revoked key as long as it sends statements.
+func (s *Session) isKeyRevoked() bool {
 	view := s.View()
 	workspace, ok := view.Identify(&s.scope.route, s.Key)
 	if ok && workspace == s.scope.workspace {
@@ -47,11 +47,11 @@
 	s.Log.Info("conductor: key unknown", zap.Stringer("key", s.Key), zap.String("database", s.Database), zap.Uint64("configuration", version))
 }
 
-func forbidden() carrier.Answer {
+func forbiddenAnswer() carrier.Answer {
 	return carrier.Answer{Code: carrier.Forbidden, Text: "the key is unknown"}
 }
 
-// admit takes the operation that a job begins off its workspace's quota.
+// admit charges the operation that a job begins to the quota of its workspace.
 func (s *Session) admit(job *carrier.Job) carrier.Answer {
 	if s.Admit == nil || job.Workspace == "" {
 		return carrier.Answer{}
--- a/conductor/identity_test.go
+++ b/conductor/identity_test.go
@@ -15,25 +15,26 @@
 
 const secret = "bkf83fgfwrz56aw63is4"
 
-// keyed is a session of a caller that has shown a key, and the configuration of its fleet.
-type keyed struct {
+// keyedSession is the session of a caller that has presented a key, with the configuration of
+// its fleet.
+type keyedSession struct {
 	*Session
-	group   *group
+	group   *fakeGroup
 	catalog *cataloger.Catalog
 	version uint64
 }
 
-func newKeyed() *keyed {
+func newKeyedSession() *keyedSession {
 	s, g := newSession()
-	k := &keyed{Session: s, group: g, catalog: &cataloger.Catalog{}}
+	k := &keyedSession{Session: s, group: g, catalog: &cataloger.Catalog{}}
 	s.View = k.catalog.View
 	s.Key = cataloger.NewFingerprint(secret)
 	k.configure("depot", secret)
 	return k
 }
 
-// configure puts a configuration in force in which a workspace holds some keys.
-func (k *keyed) configure(workspace string, keys ...string) {
+// configure applies a configuration in which a workspace has the given keys.
+func (k *keyedSession) configure(workspace string, keys ...string) {
 	k.version++
 	w := cataloger.Workspace{Name: workspace}
 	for _, key := range keys {
@@ -47,9 +48,9 @@
 	})
 }
 
-func TestStatementsAreTheWorkspacesOfTheirKeys(t *testing.T) {
+func TestStatementsBelongToWorkspaceOfKey(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	is.Equal(k.do(Read, "", "seat").Code, carrier.OK)
 	is.Equal(k.do(Begin, "", "").Code, carrier.OK)
 	is.Equal(k.do(Read, "", "seat").Code, carrier.OK)
@@ -57,7 +58,7 @@
 	for _, job := range k.group.jobs {
 		is.Equal(job.Workspace, "depot")
 	}
-	k = newKeyed()
+	k = newKeyedSession()
 	k.Key = cataloger.Fingerprint{}
 	is.Equal(k.do(Read, "", "seat").Code, carrier.Forbidden)
 	is.Equal(k.do(Begin, "", "").Code, carrier.Forbidden)
@@ -68,16 +69,15 @@
 	is.Equal(k.group.jobs[0].Workspace, "")
 }
 
-// Guards against a caller that goes on with a key that was taken away: idle, and inside
-// a transaction.
-func TestARevokedKeyOpensNothing(t *testing.T) {
+// Guards against a caller that continues with a revoked key, outside or inside a transaction.
+func TestRevokedKeyIsRefused(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	is.Equal(k.do(Read, "", "seat").Code, carrier.OK)
 	k.configure("depot", "another")
 	is.Equal(k.do(Read, "", "seat").Code, carrier.Forbidden)
 	k.configure("depot", "another", secret)
-	is.Equal(k.do(Read, "", "seat").Code, carrier.OK) // it is back
+	is.Equal(k.do(Read, "", "seat").Code, carrier.OK) // the key is valid again
 
 	is.Equal(k.do(Begin, "", "").Code, carrier.OK)
 	is.Equal(k.do(Write, "", "seat anna").Code, carrier.OK)
@@ -86,26 +86,26 @@
 	is.Equal(reply.Code, carrier.Forbidden)
 	is.Equal(reply.State, carrier.Broken)
 	is.Equal(k.do(Commit, "", "").Code, carrier.Aborted)
-	is.Equal(k.group.ended(), []string{"rollback"})
+	is.Equal(k.group.transactionEndings(), []string{"rollback"})
 }
 
-// Guards against a transaction that is committed with a key that was taken away.
-func TestARevokedKeyCommitsNothing(t *testing.T) {
+// Guards against a transaction that is committed with a revoked key.
+func TestRevokedKeyCannotCommit(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	is.Equal(k.do(Begin, "", "").Code, carrier.OK)
 	is.Equal(k.do(Write, "", "seat anna").Code, carrier.OK)
 	k.configure("depot", "another")
 	reply := k.do(Commit, "", "")
 	is.Equal(reply.Code, carrier.Forbidden)
 	is.Equal(reply.State, carrier.Idle)
-	is.Equal(k.group.ended(), []string{"rollback"})
+	is.Equal(k.group.transactionEndings(), []string{"rollback"})
 }
 
-// Guards against a transaction of which one half is one workspace's and one another's.
-func TestAKeyThatMovesEndsItsTransaction(t *testing.T) {
+// Guards against a transaction that belongs to two workspaces because its key was moved.
+func TestMovedKeyEndsTransaction(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	is.Equal(k.do(Begin, "", "").Code, carrier.OK)
 	is.Equal(k.do(Read, "", "seat").Code, carrier.OK)
 	k.configure("hall", secret)
@@ -115,11 +115,11 @@
 	is.Equal(k.group.jobs[len(k.group.jobs)-1].Workspace, "hall")
 }
 
-// An operation is one statement, or a transaction: it is counted once, before it costs an
-// upstream anything.
+// An operation is a single statement or a whole transaction: it is counted once, before it
+// uses an upstream.
 func TestOperationsAreCountedOnce(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	counted := 0
 	left := 2
 	k.Admit = func(workspace string, _ time.Time) carrier.Answer {
@@ -146,10 +146,10 @@
 	is.Equal(counted, 4)
 }
 
-// Guards against keys in logs and answers.
-func TestAKeyIsNeverTold(t *testing.T) {
+// Guards against keys that appear in logs or replies.
+func TestKeyIsNeverDisclosed(t *testing.T) {
 	is := is.New(t)
-	k := newKeyed()
+	k := newKeyedSession()
 	core, logs := observer.New(zap.DebugLevel)
 	k.Log = zap.New(core)
 	k.do(Begin, "", "")
--- a/conductor/session.go
+++ b/conductor/session.go
@@ -14,33 +14,32 @@
 
 // Bounds of a session.
 const (
-	// maxValues and maxPrepared bound what a caller can make a process hold: some
+	// maxValues and maxPrepared bound the memory that a caller can make a process hold: a few
 	// kilobytes each.
 	maxValues   = 64
 	maxPrepared = 256
-	// restSlack is added to the time that a transaction may be left idle, so that
-	// a caller at the very bound isn't cut.
-	restSlack = 200 * time.Millisecond
-	// restDefault holds where the configuration says nothing.
-	restDefault = 10 * time.Second
+	// idleTimeoutSlack is added to the idle timeout of a transaction, so that a caller right
+	// at the bound is not cut off.
+	idleTimeoutSlack = 200 * time.Millisecond
+	// defaultIdleTimeout applies when the configuration sets no idle timeout.
+	defaultIdleTimeout = 10 * time.Second
 )
 
-// Session is one caller's session. Set the exported fields before the first
-// statement.
+// Session is the session of one caller. Set the exported fields before the first statement.
 type Session struct {
 	Database string
-	// Key is the one that the caller has shown.
+	// Key is the fingerprint of the key that the caller presented.
 	Key cataloger.Fingerprint
 	// View returns the configuration in force.
 	View func() *cataloger.View
-	// Group finds a database group.
+	// Group returns a database group by its name.
 	Group func(name string) (carrier.Runner, bool)
 	// Now is the clock of package carrier.
 	Now func() time.Time
-	// Admit, when set, takes one operation off a workspace's quota, and says what the
-	// caller is told if it has none left.
+	// Admit, when set, charges one operation to the quota of a workspace, and returns a
+	// refusal when the quota is used up.
 	Admit func(workspace string, deadline time.Time) carrier.Answer
-	// Observe, when set, is told how each request ended.
+	// Observe, when set, is called with the answer to each request.
 	Observe func(route cataloger.Route, a carrier.Answer, took time.Duration)
 	Log     *zap.Logger
 
@@ -49,64 +48,64 @@
 	prepared map[string]carrier.Prepared
 	mark     tracker.Mark
 
-	state    carrier.State
-	readOnly bool
-	scope    scope // of the open transaction
-	began    time.Time
-	tx       carrier.Transaction
-	ended    []carrier.Transaction // to be rolled back once the caller has its answer
-	rest     *time.Timer
-	turn     uint64 // counts statements, so that an old timer ends nothing newer
-
-	gone     chan struct{}
-	goneOnce sync.Once
-	setup    sync.Once
+	state            carrier.State
+	readOnly         bool
+	scope            scope // of the open transaction
+	began            time.Time
+	tx               carrier.Transaction
+	pendingRollbacks []carrier.Transaction // rolled back once the caller has its answer
+	idleTimer        *time.Timer
+	statementCount   uint64 // so that an outdated idle timer does not end a newer transaction
+
+	callerGone chan struct{}
+	closeOnce  sync.Once
+	setup      sync.Once
 }
 
-func (s *Session) prepare() {
-	s.gone = make(chan struct{})
+func (s *Session) initialize() {
+	s.callerGone = make(chan struct{})
 }
 
-// State returns the transaction state. It may be called from any goroutine that
-// doesn't run a statement.
+// State returns the transaction state. It may be called from any goroutine that does not run a
+// statement.
 func (s *Session) State() carrier.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// Handle carries out one statement that arrived at a moment of the session's
-// clock.
+// Handle executes one statement that arrived at the given time of the session's clock.
 func (s *Session) Handle(st Statement, arrived time.Time) Reply {
-	s.setup.Do(s.prepare)
+	s.setup.Do(s.initialize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn++
-	s.stopRest()
+	s.statementCount++
+	s.stopIdleTimer()
 	reply := s.dispatch(st, arrived)
 	reply.State = s.state
-	s.startRest()
+	s.startIdleTimer()
 	return reply
 }
 
-// RollbackEnded does what needn't keep the caller waiting for its answer.
+// RollbackEnded rolls back transactions that have ended. It is called after the reply was
+// sent, so that the caller does not wait for it.
 func (s *Session) RollbackEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, tx := range s.ended {
+	for _, tx := range s.pendingRollbacks {
 		tx.Rollback()
 	}
-	s.ended = s.ended[:0]
+	s.pendingRollbacks = s.pendingRollbacks[:0]
 }
 
-// Close ends the session: the caller has left. What waits for an upstream
-// gives up, and an open transaction is rolled back.
+// Close ends the session because the caller has disconnected. Requests that wait for an
+// upstream are cancelled, and an open transaction is rolled back.
 func (s *Session) Close() {
-	s.setup.Do(s.prepare)
-	s.goneOnce.Do(func() { close(s.gone) })
+	s.setup.Do(s.initialize)
+	s.closeOnce.Do(func() { close(s.callerGone) })
 	s.mu.Lock()
-	s.stopRest()
-	s.drop()
+	s.stopIdleTimer()
+	s.detachTransaction()
 	s.state = carrier.Idle
 	s.mu.Unlock()
 	s.RollbackEnded()
@@ -114,7 +113,7 @@
 
 func (s *Session) dispatch(st Statement, arrived time.Time) Reply {
 	if s.state == carrier.Broken && st.Verb != Rollback && st.Verb != Commit {
-		return failure(carrier.Malformed, "the transaction has failed; end it first")
+		return errorReply(carrier.Malformed, "the transaction has failed; end it first")
 	}
 	switch st.Verb {
 	case Begin, BeginReadOnly:
@@ -126,25 +125,25 @@
 	case Set:
 		return s.set(st)
 	case Prepare:
-		return s.keep(st)
+		return s.prepare(st)
 	case Deallocate:
 		return s.deallocate(st)
 	case Read, Write, Execute:
 		return s.execute(st, arrived)
 	default:
-		return failure(carrier.Malformed, "not a statement")
+		return errorReply(carrier.Malformed, "not a statement")
 	}
 }
 
-func failure(code carrier.Code, text string) Reply { return Reply{Code: code, Text: text} }
+func errorReply(code carrier.Code, text string) Reply { return Reply{Code: code, Text: text} }
 
-func done() Reply { return Reply{Signature: "-"} }
+func okReply() Reply { return Reply{Signature: "-"} }
 
 func (s *Session) begin(st Statement, arrived time.Time) Reply {
 	if s.state != carrier.Idle {
-		return failure(carrier.Malformed, "a transaction is open")
+		return errorReply(carrier.Malformed, "a transaction is open")
 	}
-	scope, refused := s.enter()
+	scope, refused := s.resolveScope()
 	if refused.Code != carrier.OK {
 		return refused
 	}
@@ -152,7 +151,7 @@
 	s.readOnly = st.Verb == BeginReadOnly
 	s.began = arrived
 	s.state = carrier.Open
-	return done()
+	return okReply()
 }
 
 func (s *Session) set(st Statement) Reply {
@@ -162,33 +161,34 @@
 	case i >= 0:
 		s.values[i] = v
 	case len(s.values) >= maxValues:
-		return failure(carrier.TooLarge, "too many session values")
+		return errorReply(carrier.TooLarge, "too many session values")
 	default:
 		s.values = append(s.values, v)
 	}
-	return done()
+	return okReply()
 }
 
-func (s *Session) keep(st Statement) Reply {
+func (s *Session) prepare(st Statement) Reply {
 	if s.prepared == nil {
 		s.prepared = map[string]carrier.Prepared{}
 	}
 	if _, has := s.prepared[st.Name]; !has && len(s.prepared) >= maxPrepared {
-		return failure(carrier.TooLarge, "too many prepared statements")
+		return errorReply(carrier.TooLarge, "too many prepared statements")
 	}
 	s.prepared[st.Name] = carrier.Prepared{Shape: st.Value, Writes: st.Writes}
-	return done()
+	return okReply()
 }
 
 func (s *Session) deallocate(st Statement) Reply {
 	if _, has := s.prepared[st.Name]; !has {
-		return failure(carrier.NoStatement, "no prepared statement "+st.Name)
+		return errorReply(carrier.NoStatement, "no prepared statement "+st.Name)
 	}
 	delete(s.prepared, st.Name)
-	return done()
+	return okReply()
 }
 
-// command returns what goes to the upstream, and whether it may change data.
+// command returns the command for the upstream, the prepared statement that it uses, whether
+// it may change data, and whether that statement exists.
 func (s *Session) command(st Statement) (carrier.Command, *carrier.Prepared, bool, bool) {
 	cmd := carrier.Command{ID: st.ID, Text: st.Text}
 	switch st.Verb {
@@ -210,57 +210,57 @@
 func (s *Session) execute(st Statement, arrived time.Time) Reply {
 	cmd, prepared, writes, ok := s.command(st)
 	if !ok {
-		return s.broken(failure(carrier.NoStatement, "no prepared statement "+st.Name))
+		return s.failTransaction(errorReply(carrier.NoStatement, "no prepared statement "+st.Name))
 	}
 	if s.state == carrier.Open {
-		return s.inside(st, cmd, prepared, writes, arrived)
+		return s.executeInTransaction(st, cmd, prepared, writes, arrived)
 	}
-	scope, refused := s.enter()
+	scope, refused := s.resolveScope()
 	if refused.Code != carrier.OK {
 		return refused
 	}
 	group, ok := s.Group(scope.route.Group)
 	if !ok {
-		return failure(carrier.Busy, "no upstream of the group is known")
+		return errorReply(carrier.Busy, "no upstream of the group is known")
 	}
-	job := s.job(st, scope, arrived)
+	job := s.newJob(st, scope, arrived)
 	job.Prepared = prepared
 	job.Writes = writes
 	answer := s.admit(job)
 	if answer.Code == carrier.OK {
 		answer = group.Run(job, cmd)
 	}
-	s.note(st, scope.route, answer, arrived)
+	s.recordOutcome(st, scope.route, answer, arrived)
 	if answer.Code == carrier.OK && writes {
-		s.advance(answer.Mark)
+		s.advanceMark(answer.Mark)
 	}
-	return reply(answer)
+	return replyFrom(answer)
 }
 
-// inside runs a statement of the open transaction, the first of which begins it
-// at an upstream.
-func (s *Session) inside(st Statement, cmd carrier.Command, prepared *carrier.Prepared, writes bool, arrived time.Time) Reply {
-	job := s.job(st, s.scope, arrived)
+// executeInTransaction runs a statement of the open transaction. The first one starts the
+// transaction at an upstream.
+func (s *Session) executeInTransaction(st Statement, cmd carrier.Command, prepared *carrier.Prepared, writes bool, arrived time.Time) Reply {
+	job := s.newJob(st, s.scope, arrived)
 	job.Prepared = prepared
 	job.Writes = writes
 	var answer carrier.Answer
 	switch {
-	case s.revoked():
-		answer = forbidden()
+	case s.isKeyRevoked():
+		answer = forbiddenAnswer()
 	case s.tx != nil:
 		answer = s.tx.Do(job, cmd)
 	default:
-		answer = s.start(job, cmd)
+		answer = s.startTransaction(job, cmd)
 	}
-	s.note(st, s.scope.route, answer, arrived)
+	s.recordOutcome(st, s.scope.route, answer, arrived)
 	if answer.Code != carrier.OK {
-		s.drop()
+		s.detachTransaction()
 		s.state = carrier.Broken
 	}
-	return reply(answer)
+	return replyFrom(answer)
 }
 
-func (s *Session) start(job *carrier.Job, cmd carrier.Command) carrier.Answer {
+func (s *Session) startTransaction(job *carrier.Job, cmd carrier.Command) carrier.Answer {
 	group, ok := s.Group(s.scope.route.Group)
 	if !ok {
 		return carrier.Answer{Code: carrier.Busy, Text: "no upstream of the group is known"}
@@ -277,7 +277,7 @@
 	return answer
 }
 
-func (s *Session) job(st Statement, in scope, arrived time.Time) *carrier.Job {
+func (s *Session) newJob(st Statement, in scope, arrived time.Time) *carrier.Job {
 	route := &in.route
 	job := &carrier.Job{
 		Request:     st.ID,
@@ -288,7 +288,7 @@
 		ObjectiveAt: arrived.Add(route.Objective),
 		Deadline:    time.Now().Add(route.Timeout - s.Now().Sub(arrived)),
 		Values:      s.values,
-		CallerGone:  s.gone,
+		CallerGone:  s.callerGone,
 	}
 	if route.Freshness == cataloger.ReadYourWrites {
 		job.LastWrite = s.mark
@@ -298,34 +298,34 @@
 
 func (s *Session) commit(st Statement) Reply {
 	if s.state == carrier.Idle {
-		return failure(carrier.Malformed, "no transaction is open")
+		return errorReply(carrier.Malformed, "no transaction is open")
 	}
 	if s.state == carrier.Broken {
-		s.finish()
-		return failure(carrier.Aborted, "the transaction has failed and was rolled back")
+		s.endTransaction()
+		return errorReply(carrier.Aborted, "the transaction has failed and was rolled back")
 	}
-	if s.revoked() {
-		s.finish()
-		return reply(forbidden())
+	if s.isKeyRevoked() {
+		s.endTransaction()
+		return replyFrom(forbiddenAnswer())
 	}
 	arrived := s.Now()
-	job := s.job(st, s.scope, arrived)
+	job := s.newJob(st, s.scope, arrived)
 	cmd := carrier.Command{ID: st.ID, Verb: carrier.Commit, Text: st.Text}
 	if s.tx == nil {
 		return s.commitEmpty(st, job, cmd)
 	}
 	answer := s.tx.Commit(job, cmd)
 	s.tx = nil
-	s.finish()
-	s.note(st, s.scope.route, answer, arrived)
+	s.endTransaction()
+	s.recordOutcome(st, s.scope.route, answer, arrived)
 	if answer.Code == carrier.OK {
-		s.advance(answer.Mark)
+		s.advanceMark(answer.Mark)
 	}
-	return reply(answer)
+	return replyFrom(answer)
 }
 
-// commitEmpty commits a transaction without statements. The caller expects the
-// signature of an upstream all the same.
+// commitEmpty commits a transaction without statements. The caller still expects the signature
+// of an upstream.
 func (s *Session) commitEmpty(st Statement, job *carrier.Job, cmd carrier.Command) Reply {
 	answer := carrier.Answer{Code: carrier.Busy, Text: "no upstream of the group is known"}
 	if group, ok := s.Group(s.scope.route.Group); ok {
@@ -334,55 +334,55 @@
 			answer = group.CommitEmpty(job, s.readOnly, cmd)
 		}
 	}
-	s.finish()
-	s.note(st, s.scope.route, answer, s.began)
-	return reply(answer)
+	s.endTransaction()
+	s.recordOutcome(st, s.scope.route, answer, s.began)
+	return replyFrom(answer)
 }
 
 func (s *Session) rollback() Reply {
 	if s.state == carrier.Idle {
-		return failure(carrier.Malformed, "no transaction is open")
+		return errorReply(carrier.Malformed, "no transaction is open")
 	}
-	s.finish()
-	return done()
+	s.endTransaction()
+	return okReply()
 }
 
-// finish ends the transaction; what is left of it at an upstream is rolled back
-// after the answer.
-func (s *Session) finish() {
-	s.drop()
+// endTransaction ends the transaction. If it is still open at an upstream, it is rolled back
+// there after the reply.
+func (s *Session) endTransaction() {
+	s.detachTransaction()
 	s.state = carrier.Idle
 }
 
-func (s *Session) drop() {
+func (s *Session) detachTransaction() {
 	if s.tx != nil {
-		s.ended = append(s.ended, s.tx)
+		s.pendingRollbacks = append(s.pendingRollbacks, s.tx)
 		s.tx = nil
 	}
 }
 
-// broken fails an open transaction.
-func (s *Session) broken(r Reply) Reply {
+// failTransaction marks an open transaction as failed and passes the reply on.
+func (s *Session) failTransaction(r Reply) Reply {
 	if s.state == carrier.Open {
-		s.drop()
+		s.detachTransaction()
 		s.state = carrier.Broken
 	}
 	return r
 }
 
-func (s *Session) advance(m tracker.Mark) {
+func (s *Session) advanceMark(m tracker.Mark) {
 	if s.mark.Less(m) {
 		s.mark = m
 	}
 }
 
-func reply(a carrier.Answer) Reply {
+func replyFrom(a carrier.Answer) Reply {
 	return Reply{Rows: a.Rows, Signature: a.Signature, Code: a.Code, Text: a.Text, Mark: a.Mark}
 }
 
-// writes reports whether a statement may change what is stored: a write, or the commit
-// of a transaction that isn't read only.
-func (s *Session) writes(st Statement) bool {
+// mayWrite reports whether a statement may change data: a write, or the commit of a
+// transaction that is not read-only.
+func (s *Session) mayWrite(st Statement) bool {
 	switch st.Verb {
 	case Write:
 		return true
@@ -395,8 +395,8 @@
 	}
 }
 
-// note logs how a request ended, with what decided it, and counts it.
-func (s *Session) note(st Statement, route cataloger.Route, a carrier.Answer, arrived time.Time) {
+// recordOutcome logs how a request ended and why, and reports it to Observe.
+func (s *Session) recordOutcome(st Statement, route cataloger.Route, a carrier.Answer, arrived time.Time) {
 	took := s.Now().Sub(arrived)
 	if s.Observe != nil {
 		s.Observe(route, a, took)
@@ -404,38 +404,38 @@
 	if ce := s.Log.Check(zap.InfoLevel, "conductor: request ended"); ce != nil {
 		ce.Write(zap.String("request", st.ID), zap.String("database", s.Database), zap.String("group", route.Group),
 			zap.String("upstream", a.Upstream), zap.Bool("led", a.Led), zap.Stringer("freshness", route.Freshness),
-			zap.Bool("writes", s.writes(st)), zap.Stringer("code", a.Code), zap.String("cause", a.Text),
+			zap.Bool("writes", s.mayWrite(st)), zap.Stringer("code", a.Code), zap.String("cause", a.Text),
 			zap.Duration("took", took), zap.Duration("waited", a.Waited), zap.Duration("objective", route.Objective),
 			zap.Duration("timeout", route.Timeout), zap.Uint64("configuration", s.View().Config.Version))
 	}
 }
 
-// startRest ends the open transaction when its caller leaves it idle for too
-// long: it holds a connection that others wait for.
-func (s *Session) startRest() {
+// startIdleTimer starts a timer that ends the open transaction when its caller leaves it idle
+// for too long: it occupies a connection that others wait for.
+func (s *Session) startIdleTimer() {
 	if s.state != carrier.Open || s.tx == nil {
 		return
 	}
-	rest := s.View().Config.IdleTransactionTimeout
-	if rest == 0 {
-		rest = restDefault
+	idleTimeout := s.View().Config.IdleTransactionTimeout
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	turn := s.turn
-	s.rest = time.AfterFunc(rest+restSlack, func() { s.expire(turn) })
+	count := s.statementCount
+	s.idleTimer = time.AfterFunc(idleTimeout+idleTimeoutSlack, func() { s.expireIdle(count) })
 }
 
-func (s *Session) stopRest() {
-	if s.rest != nil {
-		s.rest.Stop()
-		s.rest = nil
+func (s *Session) stopIdleTimer() {
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
+		s.idleTimer = nil
 	}
 }
 
-func (s *Session) expire(turn uint64) {
+func (s *Session) expireIdle(count uint64) {
 	s.mu.Lock()
-	if s.turn == turn && s.state == carrier.Open {
+	if s.statementCount == count && s.state == carrier.Open {
 		s.Log.Info("conductor: idle transaction ended", zap.String("database", s.Database))
-		s.drop()
+		s.detachTransaction()
 		s.state = carrier.Broken
 	}
 	s.mu.Unlock()
--- a/conductor/session_test.go
+++ b/conductor/session_test.go
@@ -19,65 +19,65 @@
 	return tracker.Mark{Term: tracker.Term{Epoch: 1}, Pos: tracker.Position(pos)}
 }
 
-// group is a database group that answers all with what it is told to.
-type group struct {
+// fakeGroup is a database group that gives the same preset answer to every request.
+type fakeGroup struct {
 	answer  carrier.Answer
 	jobs    []*carrier.Job
 	started int
 
-	mu   sync.Mutex
-	ends []string // how transactions ended
+	mu      sync.Mutex
+	endings []string // how transactions ended
 }
 
-func (g *group) end(how string) {
+func (g *fakeGroup) end(how string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ends = append(g.ends, how)
+	g.endings = append(g.endings, how)
 }
 
-// ended returns how transactions ended.
-func (g *group) ended() []string {
+// transactionEndings returns how transactions ended.
+func (g *fakeGroup) transactionEndings() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.ends)
+	return slices.Clone(g.endings)
 }
 
-func (g *group) Run(j *carrier.Job, _ carrier.Command) carrier.Answer {
+func (g *fakeGroup) Run(j *carrier.Job, _ carrier.Command) carrier.Answer {
 	g.jobs = append(g.jobs, j)
 	return g.answer
 }
 
-func (g *group) Start(j *carrier.Job, _ bool, _ carrier.Command) (carrier.Transaction, carrier.Answer) {
+func (g *fakeGroup) Start(j *carrier.Job, _ bool, _ carrier.Command) (carrier.Transaction, carrier.Answer) {
 	g.jobs = append(g.jobs, j)
 	if g.answer.Code != carrier.OK {
 		return nil, g.answer
 	}
 	g.started++
-	return &transaction{g}, g.answer
+	return &fakeTransaction{g}, g.answer
 }
 
-func (g *group) CommitEmpty(*carrier.Job, bool, carrier.Command) carrier.Answer {
+func (g *fakeGroup) CommitEmpty(*carrier.Job, bool, carrier.Command) carrier.Answer {
 	g.end("empty")
 	return g.answer
 }
 
-type transaction struct{ g *group }
+type fakeTransaction struct{ g *fakeGroup }
 
-func (t *transaction) Do(j *carrier.Job, _ carrier.Command) carrier.Answer {
+func (t *fakeTransaction) Do(j *carrier.Job, _ carrier.Command) carrier.Answer {
 	t.g.jobs = append(t.g.jobs, j)
 	return t.g.answer
 }
 
-func (t *transaction) Commit(*carrier.Job, carrier.Command) carrier.Answer {
+func (t *fakeTransaction) Commit(*carrier.Job, carrier.Command) carrier.Answer {
 	t.g.end("commit")
 	return t.g.answer
 }
 
-func (t *transaction) Rollback() { t.g.end("rollback") }
+func (t *fakeTransaction) Rollback() { t.g.end("rollback") }
 
 // newSession returns a session at a database whose reads must see its own writes.
-func newSession() (*Session, *group) {
-	g := &group{answer: carrier.Answer{Signature: "s", Mark: mark(7)}}
+func newSession() (*Session, *fakeGroup) {
+	g := &fakeGroup{answer: carrier.Answer{Signature: "s", Mark: mark(7)}}
 	catalog := &cataloger.Catalog{}
 	catalog.Configure(cataloger.Config{Version: 3, IdleTransactionTimeout: 2 * time.Second, Routes: []cataloger.Route{
 		{Database: "guards", Group: "g", Freshness: cataloger.ReadYourWrites, MaxAge: time.Second, Timeout: time.Second, Objective: 400 * time.Millisecond},
@@ -93,7 +93,7 @@
 	return s.Handle(Statement{ID: "r", Verb: verb, Name: name, Value: value, Text: value}, s.Now())
 }
 
-// A read names the session's own writes, and what is aimed at by when.
+// A read carries the mark of the session's last write and the time of its latency objective.
 func TestReadsSeeTheSessionsWrites(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
@@ -106,7 +106,8 @@
 	is.Equal(g.jobs[1].ObjectiveAt.Sub(g.jobs[1].Arrived), 400*time.Millisecond)
 }
 
-// Prepared statements are what they were prepared as, whatever their name is.
+// A prepared statement is executed with the shape and the write flag that it was prepared
+// with.
 func TestPreparedStatements(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
@@ -121,8 +122,9 @@
 	is.Equal(s.do(Deallocate, "s", "").Code, carrier.NoStatement)
 }
 
-// A transaction costs nothing until its first statement, and ends as it is told.
-func TestTransactionsBeginWithTheirFirstStatement(t *testing.T) {
+// A transaction uses no upstream until its first statement, and ends with the statement that
+// ends it.
+func TestTransactionsStartWithFirstStatement(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
 	is.Equal(s.do(Begin, "", "").State, carrier.Open)
@@ -131,62 +133,61 @@
 	is.Equal(g.started, 1)
 	is.Equal(s.do(Begin, "", "").Code, carrier.Malformed)
 	is.Equal(s.do(Commit, "", "").State, carrier.Idle)
-	is.Equal(g.ended(), []string{"commit"})
+	is.Equal(g.transactionEndings(), []string{"commit"})
 	is.Equal(s.do(Commit, "", "").Code, carrier.Malformed) // nothing is open
 	s.do(Begin, "", "")
 	is.Equal(s.do(Commit, "", "").Code, carrier.OK)
-	is.Equal(g.ended(), []string{"commit", "empty"})
+	is.Equal(g.transactionEndings(), []string{"commit", "empty"})
 }
 
-// Symptom: half of a transaction is kept. Sequence: a statement inside it fails, and
-// the caller commits all the same. Cause: the commit is carried out.
-func TestAFailedTransactionIsRolledBack(t *testing.T) {
+// Guards against a transaction of which only a part takes effect: a statement fails, and the
+// commit that the caller sends all the same is carried out.
+func TestFailedTransactionIsRolledBack(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
 	s.do(Begin, "", "")
 	s.do(Write, "", "seat anna")
 	g.answer = carrier.Answer{Code: carrier.Aborted}
 	is.Equal(s.do(Write, "", "seat bo").State, carrier.Broken)
-	is.Equal(g.ended(), []string{"rollback"})
+	is.Equal(g.transactionEndings(), []string{"rollback"})
 	g.answer = carrier.Answer{}
 	is.Equal(s.do(Read, "", "seat").Code, carrier.Malformed)
 	is.Equal(s.do(Commit, "", "").Code, carrier.Aborted)
 	is.Equal(s.State(), carrier.Idle)
-	is.Equal(g.ended(), []string{"rollback"})
+	is.Equal(g.transactionEndings(), []string{"rollback"})
 }
 
-// Symptom: connections of a group run out. Sequence: callers begin, write and rest.
-// Cause: their transactions hold a connection each for as long as they like.
-func TestATransactionThatRestsIsEnded(t *testing.T) {
+// Guards against a group that runs out of connections: callers begin transactions, write and
+// go idle, and each transaction occupies a connection.
+func TestIdleTransactionIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, g := newSession()
 		s.do(Begin, "", "")
 		s.do(Write, "", "seat anna")
 		time.Sleep(2 * time.Second)
-		is.Equal(len(g.ended()), 0) // as long as it may
-		time.Sleep(restSlack)
+		is.Equal(len(g.transactionEndings()), 0) // still within the idle timeout
+		time.Sleep(idleTimeoutSlack)
 		synctest.Wait()
-		is.Equal(g.ended(), []string{"rollback"})
+		is.Equal(g.transactionEndings(), []string{"rollback"})
 		is.Equal(s.do(Commit, "", "").Code, carrier.Aborted)
 	})
 }
 
-// A caller that leaves inside a transaction leaves nothing behind, and what waits for
-// it gives up.
-func TestACallerThatLeaves(t *testing.T) {
+// When a caller disconnects inside a transaction, the transaction is rolled back, and requests
+// that wait for an upstream are cancelled.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
 	s.do(Begin, "", "")
 	s.do(Write, "", "seat anna")
 	s.Close()
-	is.Equal(g.ended(), []string{"rollback"})
+	is.Equal(g.transactionEndings(), []string{"rollback"})
 	<-g.jobs[0].CallerGone
 }
 
-// A database that the configuration doesn't name is told so, also in the middle of a
-// session.
-func TestARouteThatIsGone(t *testing.T) {
+// A database without a route is refused, also in the middle of a session.
+func TestUnknownRoute(t *testing.T) {
 	is := is.New(t)
 	s, _ := newSession()
 	s.Database = "nowhere"
--- a/conductor/statement.go
+++ b/conductor/statement.go
@@ -5,7 +5,7 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Verb is what a caller's statement asks for.
+// Verb is the kind of a caller's statement.
 type Verb uint8
 
 // The verbs.
@@ -25,28 +25,27 @@
 
 // Statement is one statement of a caller.
 type Statement struct {
-	// ID names the request; upstreams get it unchanged.
+	// ID identifies the request; it is passed to upstreams unchanged.
 	ID   string
 	Verb Verb
 	// Text is the statement as the caller wrote it.
 	Text string
-	// Name is that of a session value or prepared statement.
+	// Name is the name of a session value or prepared statement.
 	Name string
 	// Value is the value of Set, the shape of Prepare, the arguments of Execute.
 	Value string
-	// Writes says of Prepare that the statement changes data.
+	// Writes says, for Prepare, that the statement changes data.
 	Writes bool
 }
 
-// Reply is what the caller is told.
+// Reply is the reply to the caller.
 type Reply struct {
 	Rows []string
-	// Signature is the upstream's proof that it ran the statement; "-" when none
-	// was needed.
+	// Signature is the upstream's proof that it ran the statement; "-" when none was needed.
 	Signature string
 	Code      carrier.Code
 	Text      string
 	State     carrier.State
-	// Mark is how far the upstream's log had come; zero when unknown.
+	// Mark is the position of the upstream's log; zero when unknown.
 	Mark tracker.Mark
 }
