--- a/assigner/doc.go
+++ b/assigner/doc.go
@@ -1,18 +1,18 @@
-// Package assigner decides which proxies have connections to the upstreams of a
-// group, where there are too few connections for all proxies. The others have their
-// statements carried by those.
+// Package assigner decides which proxies are gateways for a database group, that is, have
+// connections to its upstreams, where there are too few connections for all proxies. The
+// other proxies forward their statements to the gateways.
 //
-// A group gets as many proxies of each availability zone as of another, up to two, so
-// that one may fail and most statements stay in their zone. Within a zone each proxy
-// gets groups by its part of the zone's processors: one with four times the processor
-// of the others gets up to four times as many, and nobody gets several while others
-// have none.
+// A group gets the same number of gateways in each availability zone, up to two, so that
+// one may fail and most statements stay in their zone. Within a zone each proxy gets
+// groups in proportion to its share of the zone's CPU: a proxy with four times the CPU of
+// the others gets up to four times as many, and no proxy gets several while others have
+// none.
 //
-// Every proxy computes the assignment by itself, from what it knows of the others. Two
-// that know the same come to the same. Groups go to proxies by weighted rendezvous, so
-// that a proxy that comes or goes moves few others.
+// Every proxy computes the assignment by itself, from what it knows of the others. Proxies
+// with the same knowledge compute the same assignment. Groups are assigned by weighted
+// rendezvous hashing, so that a proxy that joins or leaves moves few other groups.
 //
 // # Usage
 //
-//	carriers := assigner.Assign(groups, proxies)["billet-db"] // names of proxies
+//	gateways := assigner.Assign(groups, proxies)["billet-db"] // names of proxies
 package assigner
