--- a/replacer/plan_test.go
+++ b/replacer/plan_test.go
@@ -100,8 +100,8 @@
 // receives, not the first one that is not leaving.
 func TestSuccessorIsAReplicaThatReceives(t *testing.T) {
 	for name, fault := range map[string]func(s *harness){
-		"dark": func(s *harness) { s.unreachable["b"] = true },
-		"deaf": func(s *harness) { s.received["b"] = 3 },
+		"not answering": func(s *harness) { s.unreachable["b"] = true },
+		"not receiving": func(s *harness) { s.received["b"] = 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
