--- a/overseer/demote.go
+++ b/overseer/demote.go
@@ -68,7 +68,7 @@
 	}
 	report, err := g.carrierGroup.Control(seen.Leader, time.Now().Add(partitionCheckTimeout), carrier.Command{Verb: carrier.Status})
 	if err != nil || !report.Leads {
-		o.Log.Info("overseer: upstream is no longer leader; not demoted", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", seen.Leader), zap.Error(err))
+		o.Log.Info("overseer: upstream does not answer as leader; not demoted", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", seen.Leader), zap.Error(err))
 		return
 	}
 	o.Log.Warn("overseer: demoting a partitioned leader", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", seen.Leader),
@@ -81,9 +81,9 @@
 	go func() {
 		report, err := g.carrierGroup.Control(id, time.Now().Add(controlTimeout), carrier.Command{Verb: carrier.Demote, Term: term})
 		if err != nil {
-			o.Log.Info("overseer: upstream not demoted", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", id), zap.Error(err))
+			o.Log.Info("overseer: demote command failed", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", id), zap.Error(err))
 			return
 		}
-		o.Log.Info("overseer: upstream demoted", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", id), zap.Bool("leads", report.Leads))
+		o.Log.Info("overseer: demote command answered", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", id), zap.Bool("leads", report.Leads))
 	}()
 }
