--- a/fetcher/doc.go
+++ b/fetcher/doc.go
@@ -1,22 +1,20 @@
-// Package fetcher decides from whom a process gets a newer version of something that
-// the store holds and that most processes of a fleet have from one another.
+// Package fetcher decides from which source a process fetches a newer version of data that the
+// store holds and that most processes of a fleet get from one another.
 //
-// A process hears from peers that they have a newer version, and asks one of them at a
-// time, drawn from those that have the newest, so that not all turn to the first. One
-// that is busy or fails is passed over for a while. A process that lacks the version for
-// longer than peers should take reads the store, whatever its peers say: peers make
-// the spread cheap, the store makes it certain. When that is varies from process to
-// process, so that a fleet whose peers don't deliver doesn't turn to the store at one
-// moment.
+// Peers report that they have a newer version. The process requests it from one of them at a
+// time, chosen at random among those with the newest version, so that not all requests go to
+// the first one. A peer that is busy or fails is skipped for a while. A process that lacks the
+// version for longer than peers should need reads the store, whatever its peers report: peers
+// make distribution cheap, the store makes it reliable. The time of that read is jittered, so
+// that a fleet whose peers do not deliver does not turn to the store all at once.
 //
-// The package does no input or output and reads no clock: the caller passes in what was
-// heard and when, asks whom to turn to, and says how that ended. A Fetcher isn't safe
-// for use by several goroutines.
+// The package does no I/O and reads no clock: the caller passes in what peers report and when,
+// asks for the next source, and reports the outcome. A Fetcher is not safe for concurrent use.
 //
 // # Usage
 //
-//	f.Hear(peer, version, now)
+//	f.AddOffer(peer, version, now)
 //	for source, ok := f.Next(now); ok; source, ok = f.Next(now) {
-//		go get(source) // takes in what comes, reports it by Hold, and calls Done
+//		go get(source) // applies the result, reports it with SetHeld, and calls Done
 //	}
 package fetcher
--- a/fetcher/fetcher.go
+++ b/fetcher/fetcher.go
@@ -10,155 +10,155 @@
 )
 
 const (
-	// patience is how long a version may be lacking before the store is read, up to half
-	// as long again. Peers deliver within it unless their links are full.
-	patience = time.Second
-	// storeEvery is the time between two reads of the store, up to half as long again.
-	storeEvery = 2 * time.Second
-	// failedFor is how long a peer that failed isn't asked again, and busyFor one that is
-	// busy.
-	failedFor = 2 * time.Second
-	busyFor   = 200 * time.Millisecond
-	// mostOffers bounds how many peers are remembered.
-	mostOffers = 16
+	// peerTimeout is how long a version may be missing before the store is read, plus up to
+	// 50% jitter. Peers deliver within it unless their links are saturated.
+	peerTimeout = time.Second
+	// storeReadInterval is the time between two reads of the store, plus up to 50% jitter.
+	storeReadInterval = 2 * time.Second
+	// failedPeerDelay is how long a peer that failed is skipped, and busyPeerDelay one that is
+	// busy; both plus up to 50% jitter.
+	failedPeerDelay = 2 * time.Second
+	busyPeerDelay   = 200 * time.Millisecond
+	// maxOffers bounds how many peers are remembered.
+	maxOffers = 16
 )
 
-// Source is where to get a newer version: a peer's address for HTTP, or the store.
+// Source is where to get a newer version: a peer's HTTP address, or the store.
 type Source struct {
-	Peer netip.AddrPort // not valid for the store
+	Peer netip.AddrPort // zero for the store
 }
 
 // IsStore reports whether the source is the store.
 func (s Source) IsStore() bool { return !s.Peer.IsValid() }
 
-// Outcome says how asking a source ended.
+// Outcome is the result of a request to a source.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Delivered Outcome = iota // it answered, and what it told has been taken in
-	Busy                     // it refused at once: it is sending to others
-	Failed                   // no whole answer came in time
+	Delivered Outcome = iota // it answered, and the answer has been applied
+	Busy                     // it refused at once because it is sending to others
+	Failed                   // no complete answer arrived in time
 )
 
-// Fetcher is the state of getting one thing. Its zero value holds nothing and has heard
-// of nothing.
+// Fetcher is the state of fetching one piece of data. Its zero value holds no version and has
+// no offers.
 type Fetcher struct {
-	// Rand draws among peers and times; nil means the runtime's source.
+	// Rand picks peers and jitter; nil means the runtime's source.
 	Rand *rand.Rand
 
-	held   versioner.Version // that this process has
-	newest versioner.Version // that was heard of
-	heard  time.Time         // when that was first heard of
-	due    time.Time         // when the store is read; set while something is lacking
-	offers []offer           // the latest last
+	held        versioner.Version // version that this process has
+	newest      versioner.Version // newest version offered by a peer
+	newestAt    time.Time         // when newest was first offered
+	storeReadAt time.Time         // when to read the store; set while a version is missing
+	offers      []offer           // in the order in which the peers were added
 
-	askingPeer  bool
-	askingStore bool
-	asked       versioner.Version // that the peer said it has
+	isFetching     bool // a request to a peer is in flight
+	isReadingStore bool
+	requested      versioner.Version // version that the peer offered
 }
 
 // offer is a peer that has a newer version.
 type offer struct {
-	peer    netip.AddrPort
-	version versioner.Version
-	after   time.Time // it isn't asked before
+	peer      netip.AddrPort
+	version   versioner.Version
+	notBefore time.Time // no request before then
 }
 
-// SetHeld takes in the version that this process has.
+// SetHeld records the version that this process has.
 func (f *Fetcher) SetHeld(version versioner.Version) {
 	if !f.held.Less(version) {
 		return
 	}
 	f.held = version
 	f.offers = slices.DeleteFunc(f.offers, func(o offer) bool { return !version.Less(o.version) })
-	if f.lacks() {
-		f.due = f.heard.Add(f.vary(patience))
+	if f.isBehind() {
+		f.storeReadAt = f.newestAt.Add(f.jitter(peerTimeout))
 	}
 }
 
-// AddOffer takes in that a peer has a version.
+// AddOffer records that a peer has a version.
 func (f *Fetcher) AddOffer(peer netip.AddrPort, version versioner.Version, now time.Time) {
 	if !f.held.Less(version) {
 		return
 	}
-	if !f.lacks() {
-		f.due = now.Add(f.vary(patience))
+	if !f.isBehind() {
+		f.storeReadAt = now.Add(f.jitter(peerTimeout))
 	}
 	if f.newest.Less(version) {
-		f.newest, f.heard = version, now
+		f.newest, f.newestAt = version, now
 	}
-	f.put(offer{peer: peer, version: version})
+	f.putOffer(offer{peer: peer, version: version})
 }
 
-// Next returns whom to ask now, if anybody. One peer and the store may be asked at a
-// time.
+// Next returns the source to fetch from now, if there is one. One peer request and one read of
+// the store may be in flight at a time.
 func (f *Fetcher) Next(now time.Time) (Source, bool) {
-	if !f.lacks() {
+	if !f.isBehind() {
 		return Source{}, false
 	}
-	if !f.askingStore && !now.Before(f.due) {
-		f.askingStore = true
+	if !f.isReadingStore && !now.Before(f.storeReadAt) {
+		f.isReadingStore = true
 		return Source{}, true
 	}
-	if f.askingPeer {
+	if f.isFetching {
 		return Source{}, false
 	}
-	o, ok := f.choose(now)
+	o, ok := f.pickOffer(now)
 	if !ok {
 		return Source{}, false
 	}
-	f.askingPeer = true
-	f.asked = o.version
+	f.isFetching = true
+	f.requested = o.version
 	return Source{Peer: o.peer}, true
 }
 
-// Done takes in how asking a source ended.
+// Done records the outcome of a request to a source.
 func (f *Fetcher) Done(s Source, outcome Outcome, now time.Time) {
 	if s.IsStore() {
-		f.askingStore = false
-		f.due = now.Add(f.vary(storeEvery))
+		f.isReadingStore = false
+		f.storeReadAt = now.Add(f.jitter(storeReadInterval))
 		return
 	}
-	f.askingPeer = false
+	f.isFetching = false
 	i := slices.IndexFunc(f.offers, func(o offer) bool { return o.peer == s.Peer })
 	if i < 0 {
 		return
 	}
 	switch outcome {
 	case Delivered:
-		if f.offers[i].version == f.asked { // it no longer has what it said
+		if f.offers[i].version == f.requested { // it no longer has the version it offered
 			f.offers = slices.Delete(f.offers, i, i+1)
 		}
 	case Busy:
-		f.offers[i].after = now.Add(f.vary(busyFor))
+		f.offers[i].notBefore = now.Add(f.jitter(busyPeerDelay))
 	case Failed:
-		f.offers[i].after = now.Add(f.vary(failedFor))
+		f.offers[i].notBefore = now.Add(f.jitter(failedPeerDelay))
 	}
 }
 
-func (f *Fetcher) lacks() bool { return f.held.Less(f.newest) }
+func (f *Fetcher) isBehind() bool { return f.held.Less(f.newest) }
 
-// put remembers an offer, in place of an earlier one of the same peer.
-func (f *Fetcher) put(o offer) {
+// putOffer stores an offer. A peer has one offer, with the newest version that it reported.
+func (f *Fetcher) putOffer(o offer) {
 	for i := range f.offers {
 		if f.offers[i].peer == o.peer {
 			f.offers[i].version = f.offers[i].version.Max(o.version)
 			return
 		}
 	}
-	if len(f.offers) >= mostOffers {
+	if len(f.offers) >= maxOffers {
 		f.offers = slices.Delete(f.offers, 0, 1)
 	}
 	f.offers = append(f.offers, o)
 }
 
-// choose draws one of the peers that have the newest version and may be asked.
-func (f *Fetcher) choose(now time.Time) (offer, bool) {
+// pickOffer picks a random peer among those that have the newest version and may be requested.
+func (f *Fetcher) pickOffer(now time.Time) (offer, bool) {
 	var best []offer
 	for _, o := range f.offers {
 		switch {
-		case now.Before(o.after):
+		case now.Before(o.notBefore):
 		case len(best) == 0 || best[0].version.Less(o.version):
 			best = []offer{o}
 		case o.version == best[0].version:
@@ -171,8 +171,8 @@
 	return best[f.intN(len(best))], true
 }
 
-// vary returns a span between d and half as long again.
-func (f *Fetcher) vary(d time.Duration) time.Duration {
+// jitter returns d plus a random part of up to 50%.
+func (f *Fetcher) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(f.intN(int(d/2)))
 }
 
--- a/fetcher/fetcher_test.go
+++ b/fetcher/fetcher_test.go
@@ -21,7 +21,7 @@
 	return &Fetcher{Rand: rand.New(rand.NewPCG(1, 1))}, time.Unix(1_800_000_000, 0)
 }
 
-func TestNothingIsAskedForThatIsHeld(t *testing.T) {
+func TestHeldVersionIsNotRequested(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	f.SetHeld(version(5))
@@ -30,7 +30,7 @@
 	is.True(!ok)
 }
 
-func TestOnePeerIsAskedAtATime(t *testing.T) {
+func TestOneRequestAtATime(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	f.AddOffer(peer(1), version(2), now)
@@ -46,8 +46,9 @@
 	is.True(!ok)
 }
 
-// Guards against a process that stays with a peer that can't deliver while others could.
-func TestAnotherPeerIsAskedWhenOneFailsOrIsBusy(t *testing.T) {
+// Guards against a process that keeps requesting from a peer that cannot deliver while others
+// could.
+func TestFailedOrBusyPeerIsSkipped(t *testing.T) {
 	for _, outcome := range []Outcome{Busy, Failed} {
 		is := is.New(t)
 		f, now := newFetcher()
@@ -56,21 +57,21 @@
 		is.True(ok)
 		f.AddOffer(peer(2), version(2), now)
 		f.Done(first, outcome, now)
-		f.AddOffer(peer(1), version(2), now) // what it says doesn't make it less busy
+		f.AddOffer(peer(1), version(2), now) // another report does not end the delay
 		second, ok := f.Next(now)
 		is.True(ok)
 		is.Equal(second, Source{Peer: peer(2)})
 		f.Done(second, outcome, now)
 		_, ok = f.Next(now)
-		is.True(!ok) // both are passed over
-		again, ok := f.Next(now.Add(2 * busyFor))
+		is.True(!ok) // both are skipped
+		again, ok := f.Next(now.Add(2 * busyPeerDelay))
 		is.Equal(ok, outcome == Busy)
 		is.True(!again.IsStore() || !ok)
 	}
 }
 
-// Guards against a loop on a peer that no longer has what it said.
-func TestAPeerThatHasNothingNewIsForgotten(t *testing.T) {
+// Guards against a request loop on a peer that no longer has the version it offered.
+func TestPeerWithNothingNewIsRemoved(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	f.AddOffer(peer(1), version(2), now)
@@ -81,8 +82,8 @@
 	is.True(!ok)
 }
 
-// Guards against a process that trusts its peers for ever.
-func TestTheStoreIsReadWhenPeersDontDeliver(t *testing.T) {
+// Guards against a process that relies on its peers forever.
+func TestStoreIsReadWhenPeersDoNotDeliver(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	began := now
@@ -92,22 +93,22 @@
 	var reads []time.Duration
 	for now.Sub(began) < 8*time.Second {
 		now = now.Add(100 * time.Millisecond)
-		f.AddOffer(peer(2), version(2), now) // others go on to say that they have it
+		f.AddOffer(peer(2), version(2), now) // others keep reporting that they have it
 		if s, ok := f.Next(now); ok && s.IsStore() {
 			reads = append(reads, now.Sub(began))
 			f.Done(s, Failed, now)
 		}
 	}
 	is.True(len(reads) >= 3)
-	is.True(reads[0] >= patience)
-	is.True(reads[0] <= 2*patience)
+	is.True(reads[0] >= peerTimeout)
+	is.True(reads[0] <= 2*peerTimeout)
 	for i := 1; i < len(reads); i++ {
-		is.True(reads[i]-reads[i-1] >= storeEvery)
+		is.True(reads[i]-reads[i-1] >= storeReadInterval)
 	}
 }
 
-// Guards against a read of the store for each of many versions that follow one another.
-func TestProgressPutsTheStoreOff(t *testing.T) {
+// Guards against a read of the store for each of many versions in quick succession.
+func TestProgressDelaysStoreRead(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	for n := uint64(2); n < 40; n++ {
@@ -117,7 +118,7 @@
 		s, ok := f.Next(now)
 		is.True(ok)
 		is.True(!s.IsStore())
-		f.AddOffer(peer(1), version(n+1), now) // while it sends the one before
+		f.AddOffer(peer(1), version(n+1), now) // while it sends the previous one
 		now = now.Add(300 * time.Millisecond)
 		f.SetHeld(version(n))
 		f.Done(s, Delivered, now)
@@ -131,12 +132,12 @@
 	for i := range 200 {
 		f.AddOffer(peer(i), version(2), now)
 	}
-	is.Equal(len(f.offers), mostOffers)
+	is.Equal(len(f.offers), maxOffers)
 	f.SetHeld(version(2))
 	is.Equal(len(f.offers), 0)
 }
 
-func TestTheNewestVersionIsAskedFor(t *testing.T) {
+func TestNewestVersionIsRequested(t *testing.T) {
 	is := is.New(t)
 	f, now := newFetcher()
 	f.AddOffer(peer(1), version(3), now)
