--- a/versioner/eras.go
+++ b/versioner/eras.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// MaxEra is the highest era that counts: a store that is restored each day gets there
-// after 22 years. What states a higher one is taken for broken, since it would keep all
-// later answers out.
+// MaxEra is the highest valid era: a store that is restored every day reaches it after 22
+// years. An answer with a higher era is treated as corrupt, because accepting it would reject
+// all later answers.
 const MaxEra = 1<<13 - 1
 
-// Verdict says whether an answer counts.
+// Verdict says whether an answer is accepted.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Current    Verdict = iota // of the era that is known
-	Later                     // of a later one: what was known is of an earlier era
-	Earlier                   // of an earlier era than is known
-	Missing                   // without an era, of a store that has them
-	Unreadable                // what it states is no era
+	Current    Verdict = iota // of the known era
+	Later                     // of a later era: what was known is of an earlier one
+	Earlier                   // of an earlier era than the known one
+	Missing                   // without an era, from a store that has eras
+	Unreadable                // the stated era is invalid
 )
 
 // String returns the verdict in lower case.
@@ -24,44 +24,45 @@
 	return [...]string{"current", "later", "past", "missing", "unreadable"}[v]
 }
 
-// IsAccepted reports whether the answer is to be believed.
+// IsAccepted reports whether the answer may be used.
 func (v Verdict) IsAccepted() bool { return v <= Later }
 
-// EraTracker is what one process knows of a store's eras. Its zero value knows nothing. It
-// isn't safe for use by several goroutines.
+// EraTracker tracks a store's era as one process knows it. Its zero value knows no era. It is
+// not safe for concurrent use.
 type EraTracker struct {
-	current uint64
-	stated  bool // some answer has stated an era
-	used    bool // some answer has counted
+	current   uint64
+	hasEras   bool // some answer has stated an era
+	hasAnswer bool // some answer has been accepted
 }
 
-// Current returns the era that is known.
+// Current returns the known era.
 func (e *EraTracker) Current() uint64 { return e.current }
 
-// Check takes in the era that an answer states, empty if it states none.
+// Check checks and records the era that an answer states. An empty string means that the answer
+// states none.
 func (e *EraTracker) Check(stated string) Verdict {
 	if stated == "" {
-		if e.stated {
+		if e.hasEras {
 			return Missing
 		}
-		e.used = true
+		e.hasAnswer = true
 		return Current
 	}
 	era, err := strconv.ParseUint(stated, 10, 64)
 	if err != nil || era > MaxEra {
 		return Unreadable
 	}
-	e.stated = true
-	return e.raise(era)
+	e.hasEras = true
+	return e.advance(era)
 }
 
-// raise takes in an era that is stated.
-func (e *EraTracker) raise(era uint64) Verdict {
+// advance records a stated era.
+func (e *EraTracker) advance(era uint64) Verdict {
 	if era < e.current {
 		return Earlier
 	}
-	first := !e.used
-	e.used = true
+	first := !e.hasAnswer
+	e.hasAnswer = true
 	if era == e.current || first {
 		e.current = era
 		return Current
--- a/versioner/version.go
+++ b/versioner/version.go
@@ -36,27 +36,27 @@
 	return strconv.FormatUint(v.Era, 10) + "/" + strconv.FormatUint(v.Revision, 10)
 }
 
-// Parse reads what String wrote.
+// Parse parses the format of String.
 func Parse(s string) (Version, error) {
 	era, revision, ok := strings.Cut(s, "/")
 	if !ok {
-		return Version{}, errors.Newf("versioner: %q isn't era/revision", s)
+		return Version{}, errors.Newf("versioner: version %q does not have the form era/revision", s)
 	}
 	var v Version
 	var err error
 	if v.Era, err = strconv.ParseUint(era, 10, 64); err != nil {
-		return Version{}, errors.Wrap(err, "versioner: era")
+		return Version{}, errors.Wrap(err, "versioner: parse the era")
 	}
 	if v.Revision, err = strconv.ParseUint(revision, 10, 64); err != nil {
-		return Version{}, errors.Wrap(err, "versioner: revision")
+		return Version{}, errors.Wrap(err, "versioner: parse the revision")
 	}
 	return v, nil
 }
 
-// MarshalText writes the version as String does.
+// MarshalText returns the format of String.
 func (v Version) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the format of String.
 func (v *Version) UnmarshalText(b []byte) error {
 	parsed, err := Parse(string(b))
 	if err != nil {
--- a/versioner/versioner_test.go
+++ b/versioner/versioner_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestVersionsTravelAsTextAndCBOR(t *testing.T) {
+func TestVersionsEncodeAsTextAndCBOR(t *testing.T) {
 	is := is.New(t)
 	v := Version{Era: 3, Revision: 1042}
 	b, err := json.Marshal(v)
@@ -47,13 +47,13 @@
 		current uint64
 	}{
 		{"a store without eras", []string{"", "", ""}, []Verdict{Current, Current, Current}, 0},
-		{"the first that is stated is no change", []string{"4", "4"}, []Verdict{Current, Current}, 4},
+		{"the first stated era is no change", []string{"4", "4"}, []Verdict{Current, Current}, 4},
 		{"a store that begins to state eras", []string{"", "1", ""}, []Verdict{Current, Later, Missing}, 1},
 		{"a restore", []string{"1", "2", "1", "2"}, []Verdict{Current, Later, Earlier, Current}, 2},
 		{"two restores between two answers", []string{"1", "3", "2"}, []Verdict{Current, Later, Earlier}, 3},
-		{"no era after one", []string{"0", "", "0"}, []Verdict{Current, Missing, Current}, 0},
-		{"no number", []string{"1", "x", "-1", "1.0", " 2", "18446744073709551616"}, []Verdict{Current, Unreadable, Unreadable, Unreadable, Unreadable, Unreadable}, 1},
-		{"too high to be one", []string{"1", "8192", "2"}, []Verdict{Current, Unreadable, Later}, 2},
+		{"no era after a stated one", []string{"0", "", "0"}, []Verdict{Current, Missing, Current}, 0},
+		{"not a number", []string{"1", "x", "-1", "1.0", " 2", "18446744073709551616"}, []Verdict{Current, Unreadable, Unreadable, Unreadable, Unreadable, Unreadable}, 1},
+		{"above MaxEra", []string{"1", "8192", "2"}, []Verdict{Current, Unreadable, Later}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
