--- a/proxier/check.go
+++ b/proxier/check.go
@@ -29,8 +29,8 @@
 	// first rank is dead is still seen after 2.1 s of the 3 s available.
 	checkGossipDelay = 700 * time.Millisecond
 	// peerDiscoveryTimeout is how long a process that has just started, and has no list of its
-	// peers, waits for updates from them before it watches. With a list, until then it ranks
-	// itself among the peers on it, whether it has heard from them or not.
+	// peers, waits for updates from them before it watches. During that time a process that
+	// has the list ranks itself among all peers on it, whether it has heard from them or not.
 	// Without either, each of 68 processes that start together ranks itself first, and each
 	// change is delivered and paid for 68 times.
 	peerDiscoveryTimeout = 1500 * time.Millisecond
--- a/proxier/distribution_test.go
+++ b/proxier/distribution_test.go
@@ -288,8 +288,8 @@
 	}
 }
 
-// Guards against a fleet that takes long to agree on a restored store, or sends it more calls
-// than a few per process.
+// Guards against a fleet that takes long to agree on a restored store, or requests as much from
+// it as there are processes.
 func TestStoreRestoreReachesAllProcesses(t *testing.T) {
 	const (
 		bound    = upstreamsCheckInterval // as for any other change
