--- a/placer/choose.go
+++ b/placer/choose.go
@@ -6,72 +6,72 @@
 	"basildale.example/basildale/tracker"
 )
 
-// None is the index that stands for no candidate.
+// None is the index returned when no candidate is chosen.
 const None = -1
 
 // Weights of a candidate's cost.
 const (
-	// perRunning is what each statement that this proxy already has at a
-	// candidate adds, as a part of its expected latency. Others share an upstream's
-	// few slots, so each of ours stands for several; half of what they add
-	// keeps a single proxy's burst from moving all work at once.
-	perRunning = 0.5
-	// remote is what another availability zone adds: two ways of 1 ms, and
-	// bytes that are paid for. Measured latencies differ by less than this
-	// while upstreams are healthy, so work stays in its zone.
-	remote = 6 * time.Millisecond
-	// behind is what a candidate adds that probably lacks what the read needs: most
-	// likely it refuses, which costs a round trip, a place in its queue, and the same
+	// inFlightWeight is what each statement that this proxy already has at a candidate adds
+	// to the cost, as a part of its expected latency. Other proxies use the same few slots
+	// of an upstream, so each of this proxy's statements stands for several. Half of what
+	// those add keeps a single proxy's burst from moving all work at once.
+	inFlightWeight = 0.5
+	// otherZoneCost is the cost of another availability zone: 1 ms in each direction, and
+	// traffic that is paid for. Measured latencies of healthy upstreams differ by less than
+	// this, so work stays in its zone.
+	otherZoneCost = 6 * time.Millisecond
+	// laggingCost is the cost of a candidate that probably lacks what the read needs. It
+	// most likely refuses, which costs a round trip, a place in its queue, and the same
 	// again elsewhere. An upstream that is as slow as that is still the better choice.
-	behind = time.Second
-	// full is what a candidate adds without a free connection: about the time
-	// until one of ours comes back there.
-	full = 30 * time.Millisecond
-	// leading is what the leader adds for work that a replica could do, since
-	// only it can do the rest.
-	leading = 4 * time.Millisecond
-	// opening is how often the time of opening a connection counts: the statement waits
-	// for it, and so do others for the slot that it takes meanwhile.
-	opening = 2
+	laggingCost = time.Second
+	// connectionWaitCost is the cost of a candidate without a free connection: about the
+	// time until one of this proxy's connections there becomes free.
+	connectionWaitCost = 30 * time.Millisecond
+	// leaderCost is the cost of the leader for work that a replica could do, since only the
+	// leader can do the rest.
+	leaderCost = 4 * time.Millisecond
+	// connectDelayWeight multiplies the time to open a connection: the statement waits for
+	// it, and others wait for the slot that it takes meanwhile.
+	connectDelayWeight = 2
 )
 
 // Candidate is one upstream as this proxy sees it.
 type Candidate struct {
 	IsLeader bool
 	Leaving  bool
-	// DrainEnded says that it gets no more work.
+	// DrainEnded means that a leaving upstream gets no more work.
 	DrainEnded bool
-	// Ejected says that it doesn't answer.
+	// Ejected means that it does not answer.
 	Ejected  bool
 	SameZone bool
-	// Lagging says that its log probably lacks what the work needs.
+	// Lagging means that its log probably lacks what the work needs.
 	Lagging bool
-	// Tried says that this very statement has failed there.
+	// Tried means that this statement has already failed there.
 	Tried bool
-	// Mark is how far its log surely has come.
+	// Mark is a position that its log has certainly reached.
 	Mark tracker.Mark
-	// InFlight is how many statements and transactions of this proxy are there.
+	// InFlight is how many statements and transactions of this proxy are running there.
 	InFlight int
-	// QueueWait is how long this proxy would hold the work back before it is sent there.
+	// QueueWait is how long this proxy would queue the work before it sends it there.
 	QueueWait time.Duration
 	// MaxConnections is how many connections this proxy may have there.
 	MaxConnections int
 	// Latency is the expected time of an answer.
 	Latency time.Duration
-	// ConnectDelay is the expected time until a connection is open there; zero where one
-	// that will do is idle.
+	// ConnectDelay is the expected time to open a connection there; zero where a suitable
+	// one is idle.
 	ConnectDelay time.Duration
 }
 
-// Need is what the work asks for.
+// Need is what the work requires.
 type Need struct {
-	// LeaderOnly says that only the leader will do.
+	// LeaderOnly is true if only the leader may do the work.
 	LeaderOnly bool
 	// MinMark is the mark that the log must contain.
 	MinMark tracker.Mark
 }
 
-// Reason says why a choice was made.
+// Reason is why a choice was made.
 type Reason string
 
 // The reasons.
@@ -88,17 +88,17 @@
 // Choose returns the index of the best candidate, or None.
 func Choose(candidates []Candidate, need Need) (int, Reason) {
 	if need.LeaderOnly {
-		return leader(candidates)
+		return chooseLeader(candidates)
 	}
-	best, least := None, time.Duration(0)
+	best, lowest := None, time.Duration(0)
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Ejected || c.DrainEnded {
 			continue
 		}
 		cost := cost(c, need)
-		if best == None || cost < least {
-			best, least = i, cost
+		if best == None || cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	if best == None {
@@ -107,7 +107,7 @@
 	return best, LowestCost
 }
 
-func leader(candidates []Candidate) (int, Reason) {
+func chooseLeader(candidates []Candidate) (int, Reason) {
 	for i := range candidates {
 		switch c := &candidates[i]; {
 		case !c.IsLeader:
@@ -122,29 +122,29 @@
 	return None, NoLeader
 }
 
-// last is more than any sum of the other parts: such a candidate is taken only
-// when nothing else is there.
-const last = time.Minute
+// lastResortCost is more than any sum of the other costs: a candidate that is leaving is
+// chosen only when no other is left.
+const lastResortCost = time.Minute
 
 func cost(c *Candidate, need Need) time.Duration {
-	cost := c.QueueWait + c.Latency + opening*c.ConnectDelay + time.Duration(perRunning*float64(c.InFlight)*float64(c.Latency))
+	cost := c.QueueWait + c.Latency + connectDelayWeight*c.ConnectDelay + time.Duration(inFlightWeight*float64(c.InFlight)*float64(c.Latency))
 	if !c.SameZone {
-		cost += remote
+		cost += otherZoneCost
 	}
 	if c.IsLeader {
-		cost += leading
+		cost += leaderCost
 	}
 	if c.Lagging && c.Mark.Less(need.MinMark) {
-		cost += behind
+		cost += laggingCost
 	}
 	if c.InFlight >= c.MaxConnections {
-		cost += full
+		cost += connectionWaitCost
 	}
 	if c.Tried {
-		cost += last / 2
+		cost += lastResortCost / 2
 	}
 	if c.Leaving {
-		cost += last
+		cost += lastResortCost
 	}
 	return cost
 }
--- a/placer/doc.go
+++ b/placer/doc.go
@@ -1,15 +1,15 @@
-// Package placer chooses the upstream that a read or a transaction goes to.
+// Package placer chooses the upstream on which a read or a transaction runs.
 //
-// It answers the ordinary load: many reads that any copy may serve, a few
-// statements that only the leader may, and copies that turn slow, fall behind or
-// stop answering one at a time. The cost of a candidate is the time that an
-// answer is expected to take there; the cheapest gets the work.
+// It is meant for ordinary load: many reads that any replica may serve, a few statements
+// that only the leader may run, and upstreams that become slow, lag or stop answering one
+// at a time. The cost of a candidate is the expected time of an answer there; the candidate
+// with the lowest cost is chosen.
 //
-// Everything here is a function of its arguments.
+// All functions are pure: the result depends only on the arguments.
 //
 // # Usage
 //
-//	i, reason := placer.Choose(candidates, placer.Need{Since: mark})
+//	i, reason := placer.Choose(candidates, placer.Need{MinMark: mark})
 //	if i == placer.None {
 //		return refuse(reason)
 //	}
