--- a/gossiper/doc.go
+++ b/gossiper/doc.go
@@ -1,38 +1,38 @@
-// Package gossiper tells the proxies of a fleet about one another while no
-// store is needed for it: who is there, who answers, which configuration each has, whom
-// each can't reach, and who holds the duty of replacing a leader. Without it two
-// processes work out different carriers for a group, and statements go to processes
-// that have died or don't carry.
-//
-// # One list
-//
-// Who is in the fleet is a list of statements, one about each process. It comes from the
-// store at the start, and from then on from peers. Whatever the order in which two
-// processes hear the same statements, they hold the same list; of two statements about
-// a process that of the later moment counts, and a process contradicts what isn't true
-// of it by a later moment. News rides on the datagrams, a bounded number of statements
-// on each. Datagrams carry a hash of the list, and a process whose list differs from
-// most asks one of them for its own.
-//
-// # Who answers
-//
-// All processes lie on four circles, each in another order, and send to their successor
-// on each: so four listen for each, whatever the size of the fleet. One that they don't
-// hear is said to be silent, and after half a minute to be gone. What is divided among
-// the fleet is divided among all that aren't gone, so that a datagram that is lost
-// moves nothing. Those that carry for the same groups tell each other each round, and
-// decide with what they have heard themselves.
+// Package gossiper keeps the proxies of a fleet informed about one another without
+// the store: which processes exist and answer, which configuration version each has,
+// which group leaders each cannot reach, and who holds the lease to replace a leader.
+// Without it two processes would compute different gateways for a group, and statements
+// would go to processes that are dead or are not gateways of the group.
+//
+// # Membership list
+//
+// The membership list has one entry for each process. It comes from the store at
+// start-up, and from peers after that. Merging is commutative: processes that received
+// the same entries hold the same list, in whatever order the entries arrived. The entry
+// with the later start and incarnation wins, and a process refutes a false entry about
+// itself with a higher incarnation. Updates are piggybacked on datagrams, a bounded
+// number on each. Datagrams also carry a hash of the list, and a process whose list
+// differs from that of most others requests the whole list from one of them.
+//
+// # Failure detection
+//
+// All processes lie on four hash rings, each in another order, and send to their
+// successor on each ring. So each process is monitored by up to four others, whatever the
+// size of the fleet. A process that they no longer receive is marked suspect, and after
+// half a minute dead. Work is divided among all processes that are not dead, so that a
+// lost datagram moves nothing. The gateways of a group send to each other in each
+// round, and decide by what they have received themselves.
 //
 // Each process sends its whole state, a few hundred bytes, in one datagram several times
-// a second. Nothing is acknowledged. To how many it sends depends on how many carry
-// together, not on the size of the fleet.
+// a second. Nothing is acknowledged. The number of targets depends on how many processes
+// are gateways of the same groups, not on the size of the fleet.
 //
-// A Roster is the state, a function of what came in and the time; Gossiper moves
-// datagrams.
+// A Roster is the state: a pure function of the received datagrams and the time. A
+// Gossiper sends and receives the datagrams.
 //
 // # Usage
 //
-//	g := &gossiper.Gossiper{Address: address, Self: self, Log: log}
+//	g := &gossiper.Gossiper{Address: address, Self: self, Now: now, Log: log}
 //	if err := g.Start(); err != nil {
 //		return err
 //	}
--- a/gossiper/fleet_test.go
+++ b/gossiper/fleet_test.go
@@ -8,25 +8,26 @@
 	"github.com/matryer/is"
 )
 
-// each plays a test at each size, with datagrams that get lost.
-func each(t *testing.T, play func(t *testing.T, is *is.I, f *fleet, n int)) {
+// forEachSize runs a test at each fleet size, with a tenth of the datagrams lost.
+func forEachSize(t *testing.T, test func(t *testing.T, is *is.I, f *fleet, n int)) {
 	for _, n := range []int{9, 91, 195} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			play(t, is.New(t), newTestFleet(n, 0.1), n)
+			test(t, is.New(t), newTestFleet(n, 0.1), n)
 		})
 	}
 }
 
-// Symptom: in a large fleet connections are divided again and again, in as many ways
-// as there are processes, and callers are sent to processes that don't carry. Sequence:
-// all start together, with 10 % of the datagrams lost. Cause: each process takes for the
-// fleet whom it has heard itself, and a process of 195 has heard 59 % of them after 2 s.
-func TestAllWhoStartTogetherAgree(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet, n int) {
+// Guards against a large fleet whose connections are divided again and again, in as many
+// ways as there are processes, and callers that are sent to processes that are not
+// gateways. It happened when all processes started together with 10 % of the datagrams
+// lost and each took the processes it had received for the fleet: one of 195 had
+// received 59 % of the others after 2 s.
+func TestSimultaneousStartConverges(t *testing.T) {
+	forEachSize(t, func(t *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(300 * time.Millisecond)
-		took := f.whenAgreed(n, 10*time.Second)
+		took := f.timeToAgree(n, 10*time.Second)
 		t.Log("agreed after", took)
 		is.True(took <= 2*time.Second)
 		f.RunFor(5 * time.Second)
@@ -34,82 +35,81 @@
 	})
 }
 
-// Symptom: the link of a small machine, and the bytes between zones, go to what
-// processes tell each other. Sequence: the fleet grows. Cause: what one tells the
-// others at rest grows with it.
-func TestAtRestDatagramsDontGrowWithTheFleet(t *testing.T) {
+// Guards against idle traffic that grows with the fleet and takes up the link of a small
+// machine and the paid bytes between zones.
+func TestIdleDatagramsIndependentOfFleetSize(t *testing.T) {
 	const rounds = 20
-	each(t, func(t *testing.T, is *is.I, f *fleet, n int) {
+	forEachSize(t, func(t *testing.T, is *is.I, f *fleet, n int) {
 		f.loss = 0
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		most := 0
 		for _, p := range f.procs {
-			most += min(n-1, len(p.near)+rings+strangers)
+			most += min(n-1, len(p.groupPeers)+ringCount+randomTargets)
 		}
-		f.datagrams, f.statements, f.lists = 0, 0, 0
+		f.datagramsSent, f.updatesSent, f.listsSent = 0, 0, 0
 		f.RunFor(rounds * RoundInterval)
-		t.Logf("%.1f datagrams a process and round, of them %.1f to those that carry together", float64(f.datagrams)/float64(n*rounds), float64(most)/float64(n)-rings-strangers)
-		is.True(f.datagrams <= most*(rounds+1))
-		is.Equal(f.statements, 0)
-		is.Equal(f.lists, 0)
+		t.Logf("%.1f datagrams a process and round, of them %.1f to gateways of the same groups", float64(f.datagramsSent)/float64(n*rounds), float64(most)/float64(n)-ringCount-randomTargets)
+		is.True(f.datagramsSent <= most*(rounds+1))
+		is.Equal(f.updatesSent, 0)
+		is.Equal(f.listsSent, 0)
 	})
 }
 
-// Symptom: most of the bytes between zones, which are paid for, are words of changes in
-// the store that all know already. Sequence: 13 groups change their leaders at once.
-// Cause: each process tells each change to all that it sends rounds to.
-func TestAChangeReachesAllByFewWords(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet, n int) {
+// Guards against each process sending each change of the store to all targets of its
+// rounds: when 13 groups change their leaders at once, most of the paid bytes between
+// zones would be changes that all processes have already.
+func TestStoreChangeSpreadsOverRings(t *testing.T) {
+	forEachSize(t, func(t *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
-		f.take(f.procs[0], 1)
+		f.setConfiguration(f.procs[0], 1)
 		f.RunFor(100 * time.Millisecond)
 		knows := 0
 		for _, p := range f.procs {
-			knows += int(p.config)
+			knows += int(p.configuration)
 		}
-		t.Logf("%d of %d know it after 0.1 s, by %d words", knows, n, f.passed)
-		is.True(f.passed <= n*max(rings, few))
-		if n > few {
-			is.True(f.passed <= n*rings)
+		t.Logf("%d of %d processes have the change after 0.1 s, by %d datagrams", knows, n, f.successorDatagrams)
+		is.True(f.successorDatagrams <= n*max(ringCount, maxFullMesh))
+		if n > maxFullMesh {
+			is.True(f.successorDatagrams <= n*ringCount)
 		}
 		f.RunFor(RoundInterval)
 		for _, p := range f.procs {
-			is.Equal(p.config, uint64(1))
+			is.Equal(p.configuration, uint64(1))
 		}
 	})
 }
 
-// Symptom: statements are sent to a process that has died, and time out there, for half
-// a minute. Sequence: a process dies; nobody is told. Cause: each counts it as live until
-// its own time is over, which grows with the fleet.
-func TestADeathIsKnownToAll(t *testing.T) {
-	each(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
+// Guards against statements that are sent to a dead process for half a minute and time out
+// there. It happens when each process counts it as live until its own timeout, which
+// grows with the fleet, and nobody is notified.
+func TestDeathReachesAllProcesses(t *testing.T) {
+	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		dead := f.procs[0]
 		dead.up = false
 		f.RunFor(10 * time.Second)
 		for _, p := range f.procs[1:] {
-			_, answers := p.Answers(dead.name, f.Now)
-			is.True(!answers)
-			is.Equal(len(p.Answering(f.Now)), n-2) // all others do
-			is.Equal(len(p.Fleet())+1, n)          // it may come back
+			_, reachable := p.Reachable(dead.name, f.Now)
+			is.True(!reachable)
+			is.Equal(len(p.ReachableNames(f.Now)), n-2) // all others are reachable
+			is.Equal(len(p.Fleet())+1, n)               // the dead one may come back
 		}
 		f.boot(dead, true)
 		f.RunFor(5 * time.Second)
 		for _, p := range f.procs[1:] {
-			_, answers := p.Answers(dead.name, f.Now)
-			is.True(answers)
+			_, reachable := p.Reachable(dead.name, f.Now)
+			is.True(reachable)
 		}
 	})
 }
 
-// Symptom: carriers of a group count a dead one's word for seconds. Sequence: a process
-// dies that carries for a group. Cause: they hear each other by chance.
-func TestThoseThatCarryTogetherNoticeADeath(t *testing.T) {
-	each(t, func(_ *testing.T, is *is.I, f *fleet, _ int) {
+// Guards against gateways of a group that count a dead one's vote for seconds, because
+// they receive each other by chance only.
+func TestGatewaysOfAGroupDetectDeath(t *testing.T) {
+	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, _ int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		dead := f.procs[0]
@@ -119,76 +119,76 @@
 			}
 		}
 		dead.up = false
-		f.RunFor(silence + delay)
+		f.RunFor(aliveTimeout + networkDelay)
 		for _, p := range f.procs {
 			if p == dead {
 				continue
 			}
-			heard := map[string]bool{}
+			live := map[string]bool{}
 			for _, peer := range p.Live(f.Now) {
-				heard[peer.Name] = true
+				live[peer.Name] = true
 			}
-			is.True(!heard[dead.name])
+			is.True(!live[dead.name])
 			for _, q := range f.procs {
-				if q != p && q != dead && together(State{Groups: p.groups}, State{Groups: q.groups}) {
-					is.True(heard[q.name]) // nobody who lives is dropped
+				if q != p && q != dead && shareGroup(State{Groups: p.groups}, State{Groups: q.groups}) {
+					is.True(live[q.name]) // no live process is dropped
 				}
 			}
 		}
 	})
 }
 
-// Symptom: the part of a machine that was replaced stays unused. Sequence: a machine goes
-// for good, and another one comes with another name. Cause: they are known to some.
-func TestAReplacedMachineIsReplacedOnAllLists(t *testing.T) {
-	each(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
+// Guards against a share of a machine that stays unused after the machine is replaced for
+// good by one with another name, because only some processes know of the two.
+func TestReplacedMachineUpdatesAllLists(t *testing.T) {
+	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		f.procs[0].up = false
-		f.boot(f.machine(), true)
+		f.boot(f.addMachine(), true)
 		f.RunFor(5 * time.Second)
 		for _, p := range f.procs[1:] {
 			is.Equal(len(p.Fleet()), n) // both, since the old one may come back
 		}
-		f.RunFor(memory + 4*time.Second)
+		f.RunFor(deadTimeout + 4*time.Second)
 		is.True(f.agreed(n))
 	})
 }
 
-// Symptom: a fleet that was cut in two doesn't find together, or processes that live are
-// dropped. Sequence: a third of it is cut off for 12 s, then the cut is healed. Cause:
-// each side has the other for silent, and nobody contradicts.
-func TestAFleetThatWasCutInTwoFindsTogether(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet, n int) {
+// Guards against a fleet that stays divided after a partition, and against live processes
+// that are dropped: a third is cut off for 12 s, each side suspects the other, and after
+// the partition every suspicion has to be refuted.
+func TestPartitionedFleetReconverges(t *testing.T) {
+	forEachSize(t, func(t *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		away := map[*proc]bool{}
 		for _, p := range f.procs[:n/3] {
 			away[p] = true
 		}
-		f.cut = func(from, to *proc) bool { return away[from] != away[to] }
+		f.isCut = func(from, to *proc) bool { return away[from] != away[to] }
 		f.RunFor(12 * time.Second)
 		for _, p := range f.procs {
 			is.Equal(len(p.Fleet())+1, n) // all may hold connections
 		}
-		f.cut = nil
+		f.isCut = nil
 		f.RunFor(10 * time.Second)
 		wrong := 0
 		for _, p := range f.procs {
-			if len(p.Answering(f.Now)) != n-1 {
+			if len(p.ReachableNames(f.Now)) != n-1 {
 				wrong++
 			}
 		}
-		t.Log("who has others for silent:", wrong)
+		t.Log("processes that suspect live ones:", wrong)
 		is.Equal(wrong, 0)
 	})
 }
 
-// Symptom: processes that live are dropped, or the dead are asked. Sequence: 40 % of the
-// machines are restarted in turn, each away for 2 s. Cause: news of one is lost among
-// that of the others.
-func TestMachinesThatAreRestartedInTurn(t *testing.T) {
-	each(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
+// Guards against live processes that are dropped and dead ones that get requests while
+// 40 % of the machines restart in turn, each away for 2 s, and updates about one are lost
+// among those about the others.
+func TestRollingRestart(t *testing.T) {
+	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		count := n * 2 / 5
@@ -201,15 +201,15 @@
 		f.RunFor(22 * time.Second)
 		is.True(f.agreed(n))
 		for _, p := range f.procs {
-			is.Equal(len(p.Answering(f.Now)), n-1)
+			is.Equal(len(p.ReachableNames(f.Now)), n-1)
 		}
 	})
 }
 
-// Symptom: a process that starts while the store is away serves nobody. Sequence: it
-// starts again; it knows nobody, but others send to it. Cause: it waits for the store.
-func TestPeersTellTheListWhileTheStoreIsAway(t *testing.T) {
-	each(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
+// Guards against a process that serves nobody because it restarts while the store is
+// away and waits for it. It knows no peers then, but peers send to it.
+func TestListComesFromPeersWithoutStore(t *testing.T) {
+	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
 		f.RunFor(8 * time.Second)
 		p := f.procs[0]
@@ -221,37 +221,37 @@
 	})
 }
 
-// Symptom: the fleet hears that a process is dead and that it lives, by turns, for as
-// long as one way is cut. Sequence: two processes can't reach each other, all others
-// reach both. Cause: the one accuses, the other contradicts.
-func TestAWayThatIsCutBetweenTwoMakesFewNews(t *testing.T) {
+// Guards against a fleet that receives in turn that a process is dead and that it is
+// alive, for as long as the link between two processes is cut while all others reach
+// both: one of the two suspects the other, which refutes it.
+func TestCutLinkCausesFewUpdates(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(91, 0)
 	f.bootAll()
 	f.RunFor(8 * time.Second)
 	a := f.procs[0]
-	a.turn()
+	a.refreshRings()
 	var b *proc
 	for _, p := range f.procs {
-		if a.before[p.name] {
+		if a.predecessors[p.name] {
 			b = p
 		}
 	}
-	f.cut = func(from, to *proc) bool { return from == a && to == b || from == b && to == a }
+	f.isCut = func(from, to *proc) bool { return from == a && to == b || from == b && to == a }
 	f.RunFor(20 * time.Second)
 	is.True(a.self.Incarnation+b.self.Incarnation <= 2)
 	for _, p := range f.procs {
 		if p != a && p != b {
-			_, answers := p.Answers(b.name, f.Now)
-			is.True(answers)
+			_, reachable := p.Reachable(b.name, f.Now)
+			is.True(reachable)
 		}
 	}
 }
 
-// Symptom: a process that was suspended takes all others for dead, and tells them so.
-// Sequence: it stands still for 5 s; what came meanwhile lies unread. Cause: it judges by
-// what it has read.
-func TestAProcessThatStoodStillAccusesNobody(t *testing.T) {
+// Guards against a process that was suspended for 5 s, and then suspects all others and
+// sends them that, because it judges by what it has read while later datagrams are still
+// unread.
+func TestPausedProcessSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var r Roster
@@ -265,16 +265,16 @@
 	}
 	now = now.Add(5 * time.Second)
 	r.Sweep(now)
-	is.Equal(len(r.news.items), 9) // that they are new, and nothing else
-	for _, it := range r.news.items {
+	is.Equal(len(r.updates.items), 9) // they are new, and no other update
+	for _, it := range r.updates.items {
 		is.Equal(it.Condition, Alive)
 	}
 }
 
-// Symptom: a process that was started anew while its clock was behind is ignored by all
-// for ten minutes. Sequence: its clock is set back, then it is restarted. Cause: each run
-// is told from the one before by its start, and the later start counts.
-func TestARunWhoseClockIsBehindIsHeard(t *testing.T) {
+// Guards against a process that all ignore for ten minutes after its clock was set back
+// and it restarted: starts under one name are told apart by their time, and the later
+// one wins.
+func TestRestartWithEarlierClockIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(20, 0)
 	f.bootAll()
@@ -287,6 +287,6 @@
 	p.self.Start = p.start
 	f.RunFor(5 * time.Second)
 	for _, q := range f.procs[1:] {
-		is.Equal(len(q.Answering(f.Now)), 19)
+		is.Equal(len(q.ReachableNames(f.Now)), 19)
 	}
 }
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -13,54 +13,54 @@
 	"go.uber.org/zap"
 )
 
-// maxDatagram is the longest datagram that is read. The state of a process that
-// carries for eight groups has about 310 bytes.
-const maxDatagram = 16 << 10
+// maxDatagramBytes is the size of the receive buffer. The state of a process that is a
+// gateway for eight groups has about 310 bytes.
+const maxDatagramBytes = 16 << 10
 
-// A process that has just started sends more often: what it says of its groups lets the
-// others begin, and those that accused it hear that it is back.
+// A process that has just started sends more often: its group states let the others
+// begin, and those that suspect it learn that it is back.
 const (
-	greetEvery = RoundInterval / 2
-	greetFor   = 2 * time.Second
+	startupInterval = RoundInterval / 2
+	startupPhase    = 2 * time.Second
 )
 
-// JoinWindow is how far apart the processes of a fleet that is started as a whole may
-// write their entries into the store's list. One that is new reads the list once more
-// after it: what it read before lacks those that came later, and each would have
-// another list.
+// JoinWindow is the time within which processes of a fleet that is started as a whole
+// may write their entries to the store's list. A new process reads the list again
+// after it: the first read lacks the entries written later, and the processes would
+// have different lists.
 const JoinWindow = 600 * time.Millisecond
 
-// Gossiper sends and receives. Set the exported fields before Start.
+// Gossiper sends and receives datagrams. Set the exported fields before Start.
 type Gossiper struct {
 	Address netip.AddrPort
 	// Self returns the state to send.
 	Self func() State
-	// OnState, when set, is called for each datagram of a peer.
+	// OnState, when set, is called for each state received from a peer.
 	OnState func(State)
-	// OnDatagram, when set, is called for each datagram that isn't a state, from the address
-	// of its sender. The bytes are valid until it returns.
+	// OnDatagram, when set, is called for each datagram that is not a state, with the
+	// address of its sender. The bytes are valid until it returns.
 	OnDatagram func(b []byte, from netip.AddrPort)
-	// OnForgotten, when set, is called with the name of a peer that hasn't been heard for
-	// so long that it is gone for good.
+	// OnForgotten, when set, is called with the name of a peer that was removed from the
+	// list because it has been dead for a long time.
 	OnForgotten func(name string)
 	// Now is a clock that also counts the time in which the machine is suspended.
 	Now func() time.Time
 	Log *zap.Logger
 
-	conn   *net.UDPConn
-	mu     sync.Mutex
-	roster Roster
-	heard  time.Time // when the last datagram came
+	conn         *net.UDPConn
+	mu           sync.Mutex
+	roster       Roster
+	lastReceived time.Time // time of the last state received
 
-	unread     atomic.Int64 // datagrams that can't be read
-	complained time.Time    // when one was last logged
+	decodeErrors      atomic.Int64 // datagrams that could not be decoded
+	decodeErrorLogged time.Time    // time of the last log line about one
 
-	done   chan struct{}
-	news   chan struct{} // for those that are told each round
-	passed chan struct{} // for the next on the circles
+	done          chan struct{}
+	peersDue      chan struct{} // signals a round to all targets
+	successorsDue chan struct{} // signals a send to the ring successors
 }
 
-// Start opens the socket and begins.
+// Start opens the socket and starts sending and receiving.
 func (g *Gossiper) Start() error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(g.Address))
 	if err != nil {
@@ -70,14 +70,14 @@
 	self := g.Self()
 	g.roster.SetSelf(self.member())
 	g.done = make(chan struct{})
-	g.news = make(chan struct{}, 1)
-	g.passed = make(chan struct{}, 1)
+	g.peersDue = make(chan struct{}, 1)
+	g.successorsDue = make(chan struct{}, 1)
 	go g.receive()
 	go g.send()
 	return nil
 }
 
-// LocalAddr returns the address of the socket, after Start.
+// LocalAddr returns the address of the socket. Call it after Start.
 func (g *Gossiper) LocalAddr() netip.AddrPort { return g.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Stop closes the socket.
@@ -86,25 +86,26 @@
 	_ = g.conn.Close() // nothing more is sent or awaited
 }
 
-// NotifyPeers sends a round at once, for those that decide together with this process. Several
-// calls in a row make one round.
-func (g *Gossiper) NotifyPeers() { wake(g.news) }
+// NotifyPeers triggers a round now, to the processes that decide together with this one.
+// Calls in quick succession make one round.
+func (g *Gossiper) NotifyPeers() { signal(g.peersDue) }
 
-// NotifySuccessors tells the next on the circles at once that this process knows something newer of
-// the store. Each that didn't passes it on, so that all come to know it. Told to all that
-// a round goes to, each change would cost more datagrams the more carry together, most of
-// them to processes that know.
-func (g *Gossiper) NotifySuccessors() { wake(g.passed) }
+// NotifySuccessors sends the state to the ring successors now, because this process has
+// newer data of the store. Each receiver that did not have it sends it on, until all
+// processes have it. Sent to all targets of a round instead, each change would cost more
+// datagrams the more gateways the groups have, most of them to processes that have it
+// already.
+func (g *Gossiper) NotifySuccessors() { signal(g.successorsDue) }
 
-// wake has something done that may be under way.
-func wake(c chan<- struct{}) {
+// signal sends to c without blocking. A signal that is already pending is enough.
+func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// AddListed takes in what the store lists of a process: its name, availability zone,
+// AddListed adds a process from the store's list: its name, availability zone,
 // processor and addresses.
 func (g *Gossiper) AddListed(s State) {
 	g.mu.Lock()
@@ -112,115 +113,117 @@
 	g.roster.AddListed(s, g.Now())
 }
 
-// Members returns the list of the fleet, for a peer whose own differs.
+// Members returns the membership list, to send to a peer whose list differs.
 func (g *Gossiper) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Members()
 }
 
-// Merge takes in the list of a peer.
+// Merge merges the membership list of a peer into this one.
 func (g *Gossiper) Merge(list []Member) {
 	g.mu.Lock()
-	g.roster.Take(list, g.Now())
+	g.roster.Merge(list, g.Now())
 	changes := g.roster.Changes()
 	g.mu.Unlock()
-	g.explain(changes)
+	g.logChanges(changes)
 }
 
-// explain logs what is believed of processes from now on.
-func (g *Gossiper) explain(changes []Change) {
+// logChanges logs changes of processes' conditions.
+func (g *Gossiper) logChanges(changes []Change) {
 	for _, c := range changes {
 		heard := zap.Skip()
-		if !c.Heard.IsZero() {
-			heard = zap.Duration("heard", g.Now().Sub(c.Heard))
+		if !c.LastSeen.IsZero() {
+			heard = zap.Duration("heard", g.Now().Sub(c.LastSeen))
 		}
 		g.Log.Info("gossiper: process is "+c.Condition.String(), zap.String("process", c.Name), zap.Stringer("before", c.Before),
 			zap.Int64("start", c.Start), zap.Uint32("incarnation", c.Incarnation), heard)
 	}
 }
 
-// DecodeErrors returns how many datagrams came that can't be read.
-func (g *Gossiper) DecodeErrors() int64 { return g.unread.Load() }
+// DecodeErrors returns the number of datagrams that could not be decoded.
+func (g *Gossiper) DecodeErrors() int64 { return g.decodeErrors.Load() }
 
-// drop counts a datagram that can't be read, and logs one a second at most: whoever sends
-// them, broken or of a later version, would fill the log.
-func (g *Gossiper) drop(err error) {
-	count := g.unread.Add(1)
+// countDecodeError counts a datagram that could not be decoded, and logs at most one a
+// second: a sender that is faulty or of a later version would fill the log.
+func (g *Gossiper) countDecodeError(err error) {
+	count := g.decodeErrors.Add(1)
 	now := g.Now()
-	if now.Sub(g.complained) < time.Second {
+	if now.Sub(g.decodeErrorLogged) < time.Second {
 		return
 	}
-	g.complained = now
+	g.decodeErrorLogged = now
 	g.Log.Warn("gossiper: datagram dropped", zap.Int64("so far", count), zap.Error(err))
 }
 
-// Digest returns a hash of the list of the fleet.
+// Digest returns the hash of the membership list.
 func (g *Gossiper) Digest() uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.digest
 }
 
-// ShouldRequestList reports whether to ask a peer for its list, whose hash it told.
+// ShouldRequestList reports whether to request the list of a peer that sent this digest.
 func (g *Gossiper) ShouldRequestList(digest uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.roster.Lacks(digest, g.Now())
+	return g.roster.ShouldRequestList(digest, g.Now())
 }
 
-// Fleet returns the other processes of the fleet, whether they answer just now or not.
+// Fleet returns the other processes of the fleet that are not dead, whether they answer
+// now or not.
 func (g *Gossiper) Fleet() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Fleet()
 }
 
-// SetGroupPeers sets who carries for the same groups as this process.
+// SetGroupPeers sets the processes that are gateways of the same groups as this one.
 func (g *Gossiper) SetGroupPeers(names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.roster.SetGroupPeers(names)
 }
 
-// Live returns the peers that were heard lately.
+// Live returns the peers from which a state was received lately.
 func (g *Gossiper) Live() []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Live(g.Now())
 }
 
-// ReachableNames returns the names of the peers that may be asked.
+// ReachableNames returns the names of the peers to which requests may be sent.
 func (g *Gossiper) ReachableNames() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.roster.Answering(g.Now())
+	return g.roster.ReachableNames(g.Now())
 }
 
-// ReachablePeers returns those of some peers that may be asked, with what was last heard of them.
+// ReachablePeers returns those of the named peers to which requests may be sent, with
+// the last state received from each.
 func (g *Gossiper) ReachablePeers(names []string) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
 	out := make([]Peer, 0, len(names))
 	for _, name := range names {
-		if p, ok := g.roster.Answers(name, now); ok {
+		if p, ok := g.roster.Reachable(name, now); ok {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// IsPartitioned reports whether no datagram has come for so long that this process is cut
-// off from its peers, if it has any: several come each half second.
+// IsPartitioned reports whether no datagram has arrived for so long that this process
+// is cut off from its peers, if it has any: several arrive in each half second.
 func (g *Gossiper) IsPartitioned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.roster.peers) > 0 && g.Now().Sub(g.heard) > quiet
+	return len(g.roster.peers) > 0 && g.Now().Sub(g.lastReceived) > partitionTimeout
 }
 
 func (g *Gossiper) receive() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -228,7 +231,7 @@
 		}
 		if err != nil {
 			g.Log.Warn("gossiper: read failed", zap.Error(err))
-			time.Sleep(RoundInterval) // an error that stays mustn't keep the process busy
+			time.Sleep(RoundInterval) // avoids a busy loop when the error persists
 			continue
 		}
 		if g.OnDatagram != nil && n > 0 && !isState(buffer[0]) {
@@ -237,18 +240,18 @@
 		}
 		s, err := decode(buffer[:n])
 		if err != nil {
-			g.drop(err)
+			g.countDecodeError(err)
 			continue
 		}
 		if s.Name == g.Self().Name {
 			continue
 		}
 		g.mu.Lock()
-		g.heard = g.Now()
-		g.roster.Receive(s, g.heard)
+		g.lastReceived = g.Now()
+		g.roster.Receive(s, g.lastReceived)
 		changes := g.roster.Changes()
 		g.mu.Unlock()
-		g.explain(changes)
+		g.logChanges(changes)
 		if g.OnState != nil {
 			g.OnState(s)
 		}
@@ -257,30 +260,30 @@
 
 func (g *Gossiper) send() {
 	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))
-	ticker := time.NewTicker(greetEvery)
+	ticker := time.NewTicker(startupInterval)
 	defer ticker.Stop()
 	began := time.Now()
-	greeting := true
+	starting := true
 	for {
 		select {
 		case <-g.done:
 			return
 		case <-ticker.C:
-			if greeting && time.Since(began) > greetFor {
-				greeting = false
+			if starting && time.Since(began) > startupPhase {
+				starting = false
 				ticker.Reset(RoundInterval)
 			}
-			g.round(rng)
-		case <-g.news:
-			g.round(rng)
-		case <-g.passed:
-			g.pass(rng)
+			g.sendRound(rng)
+		case <-g.peersDue:
+			g.sendRound(rng)
+		case <-g.successorsDue:
+			g.sendToSuccessors(rng)
 		}
 	}
 }
 
-// pass sends to the next on the circles.
-func (g *Gossiper) pass(rng *rand.Rand) {
+// sendToSuccessors sends the state to the ring successors.
+func (g *Gossiper) sendToSuccessors(rng *rand.Rand) {
 	self := g.Self()
 	g.mu.Lock()
 	targets := g.roster.Successors(rng)
@@ -289,7 +292,7 @@
 	g.sendTo(self, targets)
 }
 
-func (g *Gossiper) round(rng *rand.Rand) {
+func (g *Gossiper) sendRound(rng *rand.Rand) {
 	self := g.Self()
 	g.mu.Lock()
 	dropped := g.roster.Sweep(g.Now())
@@ -297,7 +300,7 @@
 	targets := g.roster.Targets(self, rng)
 	g.roster.FillState(&self)
 	g.mu.Unlock()
-	g.explain(changes)
+	g.logChanges(changes)
 	if g.OnForgotten != nil {
 		for _, name := range dropped {
 			g.OnForgotten(name)
@@ -309,7 +312,7 @@
 func (g *Gossiper) sendTo(self State, targets []netip.AddrPort) {
 	b, err := encode(self)
 	if err != nil {
-		g.Log.Error("gossiper: state can't be written", zap.Error(err))
+		g.Log.Error("gossiper: cannot encode state", zap.Error(err))
 		return
 	}
 	for _, to := range targets {
@@ -322,13 +325,13 @@
 	}
 }
 
-// Send sends a datagram that isn't a state to a peer.
+// Send sends a datagram that is not a state to a peer.
 func (g *Gossiper) Send(b []byte, to netip.AddrPort) error {
 	_, err := g.conn.WriteToUDPAddrPort(b, to)
 	return errors.Wrapf(err, "gossiper: send to %s", to)
 }
 
-// isState reports whether a datagram with such a first byte is a state: a CBOR map.
+// isState reports whether a datagram with this first byte is a state: a CBOR map.
 func isState(first byte) bool {
 	const (
 		majorBits = 5
@@ -337,7 +340,7 @@
 	return first>>majorBits == majorMap
 }
 
-// encode writes a state. An address that is told once isn't told twice.
+// encode encodes a state. It omits the gateway address when it equals the gossip address.
 func encode(s State) ([]byte, error) {
 	if s.GatewayAddr == s.GossipAddr {
 		s.GatewayAddr = netip.AddrPort{}
@@ -345,7 +348,7 @@
 	return cbor.Marshal(s)
 }
 
-// decode reads what encode wrote.
+// decode decodes what encode wrote.
 func decode(b []byte) (State, error) {
 	var s State
 	if err := cbor.Unmarshal(b, &s); err != nil {
--- a/gossiper/harness_test.go
+++ b/gossiper/harness_test.go
@@ -13,8 +13,8 @@
 	"basildale.example/basildale/internal/modeler"
 )
 
-// fleet is processes that send each other datagrams in virtual time, and the store's
-// list. What a process knows of the fleet it has from these alone.
+// fleet is a set of processes that send each other datagrams in virtual time, and the
+// store's list. What a process knows of the fleet comes from these alone.
 type fleet struct {
 	modeler.Clock
 	rng    *rand.Rand
@@ -22,49 +22,51 @@
 	at     map[netip.AddrPort]*proc
 	listed []*proc
 	groups []assigner.Group
-	// divided caches who carries, by the fleet that it was worked out from.
-	divided map[uint64]map[string][]string
-
-	loss float64
-	cut  func(from, to *proc) bool
-	// What was sent: datagrams, statements in them, and whole lists.
-	datagrams, statements, lists, passed int
+	// assignments caches the gateways of each group, by the hash of the fleet that they
+	// were computed from.
+	assignments map[uint64]map[string][]string
+
+	loss  float64
+	isCut func(from, to *proc) bool
+	// counts of what was sent: datagrams, updates in them, whole lists, and datagrams to
+	// ring successors
+	datagramsSent, updatesSent, listsSent, successorDatagrams int
 }
 
 // proc is one process. Its machine can be without power, or cut off.
 type proc struct {
 	Roster
-	name   string
-	zone   string
-	start  int64
-	addr   netip.AddrPort
-	up     bool
-	run    int
-	greets time.Time // until when it sends more often
-	knows  bool
-	groups map[string]GroupState
-	config uint64 // the version that it has
-	from   uint64 // the fleet that its groups come from
+	name          string
+	zone          string
+	start         int64
+	addr          netip.AddrPort
+	up            bool
+	boots         int
+	startupUntil  time.Time // until when it sends more often
+	knowsFleet    bool
+	groups        map[string]GroupState
+	configuration uint64 // the version that it has
+	groupsFrom    uint64 // hash of the fleet that its groups were computed from
 }
 
-const delay = time.Millisecond
+const networkDelay = time.Millisecond
 
 func newTestFleet(n int, loss float64) *fleet {
 	f := &fleet{
 		Clock: modeler.Clock{Now: time.Unix(1_800_000_000, 0)}, rng: rand.New(rand.NewPCG(uint64(n), 7)),
-		at: map[netip.AddrPort]*proc{}, divided: map[uint64]map[string][]string{}, loss: loss,
+		at: map[netip.AddrPort]*proc{}, assignments: map[uint64]map[string][]string{}, loss: loss,
 	}
 	for i := range max(3, n/10) {
 		f.groups = append(f.groups, assigner.Group{Name: fmt.Sprint("g", i), MaxGateways: 10})
 	}
 	for range n {
-		f.machine()
+		f.addMachine()
 	}
 	return f
 }
 
-// machine adds a machine without a process.
-func (f *fleet) machine() *proc {
+// addMachine adds a machine without a process.
+func (f *fleet) addMachine() *proc {
 	i := len(f.procs)
 	p := &proc{name: fmt.Sprint("proxy-", i), zone: fmt.Sprint("zone-", i%5), addr: at(i)}
 	f.procs = append(f.procs, p)
@@ -72,135 +74,136 @@
 	return p
 }
 
-// boot starts a process: it lists, writes its entry if there is none, and lists again.
+// boot starts a process: it reads the store's list, writes its entry if there is none, and
+// reads the list again.
 func (f *fleet) boot(p *proc, store bool) {
-	p.run++
-	run := p.run
-	p.Roster, p.up, p.knows = Roster{}, true, false
+	p.boots++
+	bootCount := p.boots
+	p.Roster, p.up, p.knowsFleet = Roster{}, true, false
 	p.start = f.Now.UnixNano()
-	p.groups, p.from = nil, 0
-	p.greets = f.Now.Add(greetFor)
+	p.groups, p.groupsFrom = nil, 0
+	p.startupUntil = f.Now.Add(startupPhase)
 	p.SetSelf(Member{Name: p.name, Zone: p.zone, GossipAddr: p.addr, GatewayAddr: p.addr, Millicores: 192, Start: p.start})
-	f.After(time.Duration(f.rng.Int64N(int64(RoundInterval))), func() { f.round(p, run) })
+	f.After(time.Duration(f.rng.Int64N(int64(RoundInterval))), func() { f.round(p, bootCount) })
 	if !store {
 		return
 	}
 	f.After(20*time.Millisecond, func() {
-		f.learn(p)
+		f.readStore(p)
 		if slices.Contains(f.listed, p) {
 			return
 		}
 		f.listed = append(f.listed, p)
-		f.After(JoinWindow, func() { f.learn(p) })
+		f.After(JoinWindow, func() { f.readStore(p) })
 	})
 }
 
-func (f *fleet) learn(p *proc) {
-	p.knows = true
+func (f *fleet) readStore(p *proc) {
+	p.knowsFleet = true
 	for _, o := range f.listed {
 		p.AddListed(State{Name: o.name, Zone: o.zone, GossipAddr: o.addr, GatewayAddr: o.addr, Millicores: 192, Start: o.start}, f.Now)
 	}
 }
 
-// divide works out for whom a process carries.
-func (f *fleet) divide(p *proc) {
+// assign computes the groups that a process is a gateway of.
+func (f *fleet) assign(p *proc) {
 	members := append(p.Fleet(), p.self)
 	var from uint64
 	for _, m := range members {
 		from ^= xxhash.Sum64String(m.Name)
 	}
-	if p.from == from {
+	if p.groupsFrom == from {
 		return
 	}
-	p.from = from
-	carriers := f.divided[from]
-	if carriers == nil {
+	p.groupsFrom = from
+	gateways := f.assignments[from]
+	if gateways == nil {
 		var proxies []assigner.Proxy
 		for _, m := range members {
 			proxies = append(proxies, assigner.Proxy{Name: m.Name, Zone: m.Zone, Millicores: int(m.Millicores)})
 		}
-		carriers = assigner.Assign(f.groups, proxies)
-		f.divided[from] = carriers
+		gateways = assigner.Assign(f.groups, proxies)
+		f.assignments[from] = gateways
 	}
 	p.groups = map[string]GroupState{}
-	var near []string
-	for group, names := range carriers {
+	var peers []string
+	for group, names := range gateways {
 		if slices.Contains(names, p.name) {
 			p.groups[group] = GroupState{IsGateway: true}
-			near = append(near, names...)
+			peers = append(peers, names...)
 		}
 	}
-	p.SetGroupPeers(slices.DeleteFunc(near, func(name string) bool { return name == p.name }))
+	p.SetGroupPeers(slices.DeleteFunc(peers, func(name string) bool { return name == p.name }))
 }
 
-func (f *fleet) round(p *proc, run int) {
-	if !p.up || p.run != run {
+func (f *fleet) round(p *proc, bootCount int) {
+	if !p.up || p.boots != bootCount {
 		return
 	}
-	period := RoundInterval
-	if f.Now.Before(p.greets) {
-		period = greetEvery
+	interval := RoundInterval
+	if f.Now.Before(p.startupUntil) {
+		interval = startupInterval
 	}
-	f.After(period, func() { f.round(p, run) })
+	f.After(interval, func() { f.round(p, bootCount) })
 	p.Sweep(f.Now)
-	if p.knows {
-		f.divide(p)
+	if p.knowsFleet {
+		f.assign(p)
 	}
 	targets := p.Targets(State{Groups: p.groups}, f.rng)
 	s := f.state(p)
 	for _, to := range targets {
-		f.datagrams++
-		f.statements += len(s.News)
-		f.send(p, f.at[to], func(to *proc) { f.hear(p, to, s) })
+		f.datagramsSent++
+		f.updatesSent += len(s.Updates)
+		f.send(p, f.at[to], func(to *proc) { f.receive(p, to, s) })
 	}
 }
 
-// send brings something to a process, unless it is lost on the way.
+// send delivers something to a process, unless it is lost on the way.
 func (f *fleet) send(from, to *proc, what func(to *proc)) {
-	if to == nil || f.rng.Float64() < f.loss || f.cut != nil && f.cut(from, to) {
+	if to == nil || f.rng.Float64() < f.loss || f.isCut != nil && f.isCut(from, to) {
 		return
 	}
-	f.After(delay, func() {
+	f.After(networkDelay, func() {
 		if to.up {
 			what(to)
 		}
 	})
 }
 
-func (f *fleet) hear(from, to *proc, s State) {
+func (f *fleet) receive(from, to *proc, s State) {
 	to.Receive(s, f.Now)
-	if s.Configuration > to.config {
-		f.take(to, s.Configuration)
+	if s.Configuration > to.configuration {
+		f.setConfiguration(to, s.Configuration)
 	}
-	if !to.Lacks(s.FleetDigest, f.Now) && to.knows || f.cut != nil && f.cut(from, to) {
+	if !to.ShouldRequestList(s.FleetDigest, f.Now) && to.knowsFleet || f.isCut != nil && f.isCut(from, to) {
 		return
 	}
-	f.lists++
-	f.After(2*delay, func() {
+	f.listsSent++
+	f.After(2*networkDelay, func() {
 		if from.up && to.up {
-			to.knows = true
-			to.Take(from.Members(), f.Now)
+			to.knowsFleet = true
+			to.Merge(from.Members(), f.Now)
 		}
 	})
 }
 
-// take gives a process a version of the configuration, which it passes on once it has
-// asked for it.
-func (f *fleet) take(p *proc, version uint64) {
-	p.config = version
-	f.After(2*delay, func() {
+// setConfiguration gives a process a version of the configuration. The process sends it to
+// its ring successors once it has fetched it.
+func (f *fleet) setConfiguration(p *proc, version uint64) {
+	p.configuration = version
+	f.After(2*networkDelay, func() {
 		for _, to := range p.Successors(f.rng) {
-			f.passed++
-			f.send(p, f.at[to], func(to *proc) { f.hear(p, to, f.state(p)) })
+			f.successorDatagrams++
+			f.send(p, f.at[to], func(to *proc) { f.receive(p, to, f.state(p)) })
 		}
 	})
 }
 
-// state is what a process says.
+// state returns the state that a process sends.
 func (f *fleet) state(p *proc) State {
 	s := State{
 		Name: p.name, Zone: p.zone, Start: p.start, GossipAddr: p.addr, GatewayAddr: p.addr, Millicores: 192,
-		Configuration: p.config, Groups: p.groups,
+		Configuration: p.configuration, Groups: p.groups,
 	}
 	p.FillState(&s)
 	return s
@@ -230,8 +233,8 @@
 	return true
 }
 
-// whenAgreed returns how long it takes until all agree, at most the limit.
-func (f *fleet) whenAgreed(n int, limit time.Duration) time.Duration {
+// timeToAgree returns how long it takes until all agree, at most the limit.
+func (f *fleet) timeToAgree(n int, limit time.Duration) time.Duration {
 	began := f.Now
 	for !f.agreed(n) && f.Now.Sub(began) < limit {
 		f.RunFor(100 * time.Millisecond)
--- a/gossiper/list.go
+++ b/gossiper/list.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Take takes in another's list. What is new here isn't told on: each asks for what it
-// lacks.
-func (r *Roster) Take(list []Member, now time.Time) {
+// Merge merges another process's list. New entries are not sent on as updates: each
+// process requests the list if its own lacks something.
+func (r *Roster) Merge(list []Member, now time.Time) {
 	for _, m := range list {
-		r.hold(m, now)
+		r.mergeEntry(m, now)
 	}
 }
 
-// tell takes in a statement that came as news, and tells it on if it is new here.
-func (r *Roster) tell(m Member, now time.Time) {
-	if r.hold(m, now) {
-		r.news.put(r.peers[m.Name].said)
+// mergeUpdate merges an entry that came as an update, and sends it on if it is new here.
+func (r *Roster) mergeUpdate(m Member, now time.Time) {
+	if r.mergeEntry(m, now) {
+		r.updates.push(r.peers[m.Name].entry)
 	}
 }
 
-// hold takes in a statement about a process and reports whether it is new. Its order
-// among others doesn't matter. Whoever says what is outdated is to hear what holds:
-// a process that has started anew since is present to those who have heard it, and
-// silent to one that hasn't, and neither would learn from the other.
-func (r *Roster) hold(m Member, now time.Time) bool {
+// mergeEntry merges an entry and reports whether it brought a new process or condition.
+// The order of entries does not matter. The sender of an outdated entry has to receive
+// the current one: a process that has restarted is alive to those that received it and
+// suspect to one that did not, and neither would learn from the other.
+func (r *Roster) mergeEntry(m Member, now time.Time) bool {
 	if m.Name == r.self.Name {
-		r.contradict(m)
+		r.refute(m)
 		return false
 	}
 	p := r.peers[m.Name]
 	switch {
-	case p == nil && (m.Condition == Gone || !m.GossipAddr.IsValid()):
-		return false // forgotten here, or never known
+	case p == nil && (m.Condition == Dead || !m.GossipAddr.IsValid()):
+		return false // removed here, or never known
 	case p == nil:
 		r.add(m, now)
 		return true
-	case p.said.outweighs(&m) && p.said.Condition != m.Condition:
-		r.news.put(p.said)
+	case p.entry.supersedes(&m) && p.entry.Condition != m.Condition:
+		r.updates.push(p.entry)
 		return false
 	default:
-		return r.weigh(p, m, now)
+		return r.replaceIfNewer(p, m, now)
 	}
 }
 
-// contradict answers a statement about this process that isn't true, or is of an
-// earlier run whose clock was ahead of this one's.
-func (r *Roster) contradict(m Member) {
+// refute answers an entry about this process that is false, or that stems from an earlier
+// start whose clock was ahead of the present one.
+func (r *Roster) refute(m Member) {
 	switch {
 	case m.Start > r.self.Start:
 		r.self.Start = m.Start + 1
@@ -56,79 +56,82 @@
 	default:
 		r.self.Incarnation = m.Incarnation + 1
 	}
-	r.news.put(r.self)
+	r.updates.push(r.self)
 }
 
-// weigh takes in a statement about a process that is known, and reports whether its
-// condition is another one now.
-func (r *Roster) weigh(p *record, m Member, now time.Time) bool {
-	if !m.outweighs(&p.said) {
+// replaceIfNewer replaces the entry of a known process if m supersedes it, and reports
+// whether the condition changed.
+func (r *Roster) replaceIfNewer(p *record, m Member, now time.Time) bool {
+	if !m.supersedes(&p.entry) {
 		return false
 	}
 	if m.Condition != Alive {
-		m = m.of(&p.said) // it may be brief
-	} else if p.said.Condition != Alive {
-		p.trusted = now.Add(contradicted)
+		m = m.withIdentity(&p.entry) // m may lack the identity
+	} else if p.entry.Condition != Alive {
+		p.trustedUntil = now.Add(refutedDelay)
 	}
 	if m.Start > p.Start {
-		p.State, p.LastSeen = m.state(), time.Time{} // what an earlier run said is void
+		p.State, p.LastSeen = m.state(), time.Time{} // the state sent before the restart is void
 	}
-	before := p.said.Condition
-	r.digest ^= p.said.digest() ^ m.digest()
-	p.said, r.fleet = m, nil
+	before := p.entry.Condition
+	r.digest ^= p.entry.digest() ^ m.digest()
+	p.entry, r.fleetCache = m, nil
 	if m.Condition == before {
 		return false
 	}
-	r.changes = append(r.changes, Change{Member: m, Before: before, Heard: p.LastSeen})
-	p.changed = now
-	p.expected = time.Time{}
-	r.stale = true
+	r.changes = append(r.changes, Change{Member: m, Before: before, LastSeen: p.LastSeen})
+	p.changedAt = now
+	p.expectedSince = time.Time{}
+	r.ringsOutdated = true
 	return true
 }
 
-// of returns the statement with what is known of who it is about.
-func (m *Member) of(known *Member) Member {
+// withIdentity returns the start, incarnation and condition of m with the other fields of
+// a known entry.
+func (m *Member) withIdentity(known *Member) Member {
 	out := *known
 	out.Start, out.Incarnation, out.Condition = m.Start, m.Incarnation, m.Condition
 	return out
 }
 
-// compare notes whether another's list agrees with this one.
-func (r *Roster) compare(digest uint32) {
+// compareDigest counts whether another process's list agrees with this one.
+func (r *Roster) compareDigest(digest uint32) {
 	if digest != r.digest {
-		r.agreed = 0
+		r.agreedInRow = 0
 		r.dissent++
 		return
 	}
 	r.dissent = max(0, r.dissent-1)
-	if r.agreed++; r.agreed >= consensus {
-		r.news = news{} // nobody lacks it
+	if r.agreedInRow++; r.agreedInRow >= consensusThreshold {
+		r.updates = updateQueue{} // all processes have the updates
 	}
 }
 
-// Lacks reports whether to ask a process with such a list for it, and notes that it is
-// asked. Whoever differs from most that it hears asks; two that differ from all others
-// in the same way mustn't take each other for the fleet.
-func (r *Roster) Lacks(digest uint32, now time.Time) bool {
-	if digest == r.digest || r.dissent < dissent || now.Sub(r.asked) < compareEvery {
+// ShouldRequestList reports whether to request the list of a process that sent this
+// digest, and records the request. A process requests the list when it differs from most
+// of those it receives: two that differ from all others in the same way must not take
+// each other for the fleet.
+func (r *Roster) ShouldRequestList(digest uint32, now time.Time) bool {
+	if digest == r.digest || r.dissent < dissentThreshold || now.Sub(r.listRequested) < listRequestInterval {
 		return false
 	}
-	r.asked, r.dissent = now, 0
+	r.listRequested, r.dissent = now, 0
 	return true
 }
 
-// Members returns the list, this process included, by name.
+// Members returns the list including this process, sorted by name.
 func (r *Roster) Members() []Member {
 	out := []Member{r.self}
 	for _, p := range r.peers {
-		out = append(out, p.said)
+		out = append(out, p.entry)
 	}
 	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// FillState fills in what a process says of the fleet in its next round.
+// FillState fills in the fields of a state that the roster knows: the start, the
+// incarnation, the digest and the updates.
 func (r *Roster) FillState(s *State) {
 	s.Start, s.Incarnation = r.self.Start, r.self.Incarnation
-	s.FleetDigest, s.News = r.digest, r.news.take()
+	s.FleetDigest, s.Updates = r.digest, r.updates.take()
 }
--- a/gossiper/news.go
+++ b/gossiper/news.go
@@ -1,54 +1,56 @@
 package gossiper
 
-// Bounds of what is told on.
+// Bounds of the updates that are sent on.
 const (
-	// mostNews is how many statements a datagram carries beside the sender's own: with
-	// them it still fits into one packet.
-	mostNews = 12
-	// repeats is in how many rounds a process tells a statement on. Each reaches six
-	// others or more; what still gets lost shows in the digests.
-	repeats = 2
+	// maxUpdates is the maximum number of updates in a datagram beside the sender's own
+	// entry: with them it still fits into one packet.
+	maxUpdates = 12
+	// updateRounds is the number of rounds in which a process sends an update. Each round
+	// reaches at least six others, and what still gets lost shows in the digests.
+	updateRounds = 2
 )
 
-// news are statements that others may not have heard yet. Its zero value is empty.
-type news struct {
-	items []item // the latest last
+// updateQueue holds entries that other processes may not have received yet. Its zero
+// value is empty.
+type updateQueue struct {
+	items []queuedUpdate // the latest last
 }
 
-type item struct {
+type queuedUpdate struct {
 	Member
-	left int // rounds in which it is still told
+	roundsLeft int // rounds in which it is still sent
 }
 
-// put adds a statement, in place of an earlier one about the same process.
-func (n *news) put(m Member) {
-	n.drop(m.Name)
-	n.items = append(n.items, item{m, repeats})
+// push adds an entry in place of an earlier one about the same process.
+func (q *updateQueue) push(m Member) {
+	q.drop(m.Name)
+	q.items = append(q.items, queuedUpdate{m, updateRounds})
 }
 
-func (n *news) drop(name string) {
-	for i, it := range n.items {
+func (q *updateQueue) drop(name string) {
+	for i, it := range q.items {
 		if it.Name == name {
-			n.items = append(n.items[:i], n.items[i+1:]...)
+			q.items = append(q.items[:i], q.items[i+1:]...)
 			return
 		}
 	}
 }
 
-// take returns what the next round tells, the latest first.
-func (n *news) take() []Member {
-	if len(n.items) == 0 {
+// take returns the updates to send in the next round, and counts that round. The
+// latest are sent first.
+func (q *updateQueue) take() []Member {
+	if len(q.items) == 0 {
 		return nil
 	}
-	from := max(0, len(n.items)-mostNews)
-	out := make([]Member, 0, len(n.items)-from)
-	kept := n.items[:from]
-	for _, it := range n.items[from:] {
-		out = append(out, it.brief())
-		if it.left--; it.left > 0 {
+	from := max(0, len(q.items)-maxUpdates)
+	out := make([]Member, 0, len(q.items)-from)
+	kept := q.items[:from]
+	for _, it := range q.items[from:] {
+		out = append(out, it.compact())
+		if it.roundsLeft--; it.roundsLeft > 0 {
 			kept = append(kept, it)
 		}
 	}
-	n.items = kept
+	q.items = kept
 	return out
 }
--- a/gossiper/ring.go
+++ b/gossiper/ring.go
@@ -8,47 +8,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rings is how many circles the fleet is put into, each in an order of its own. Each
-// process sends to its successor on each circle, so that each is listened for by four
-// others whatever the size of the fleet: some of them outlive it, and hear of it when
-// half of the fleet is lost.
-const rings = 4
-
-// place is a process's place on one circle.
-type place struct {
+// ringCount is the number of hash rings, each with the fleet in another order. Each
+// process sends to its successor on each ring, so that each is monitored by up to four
+// others whatever the size of the fleet. Some of the four survive the loss of half of the
+// fleet, and detect the failure.
+const ringCount = 4
+
+// position is a process's position on one ring.
+type position struct {
 	hash uint64
 	name string
 }
 
-func (p place) compare(o place) int {
+func (p position) compare(o position) int {
 	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.name, o.name))
 }
 
-func placeOf(ring int, name string) place {
-	return place{xxhash.Sum64String(strconv.Itoa(ring) + " " + name), name}
+func positionOf(ring int, name string) position {
+	return position{xxhash.Sum64String(strconv.Itoa(ring) + " " + name), name}
 }
 
-// neighbours returns whom a process sends to on each circle, and who sends to it.
-func neighbours(self string, others []string) (after, before []string) {
+// neighbours returns the processes that self sends to on the rings, and those that send
+// to it.
+func neighbours(self string, others []string) (successors, predecessors []string) {
 	if len(others) == 0 {
 		return nil, nil
 	}
-	for ring := range rings {
-		own := placeOf(ring, self)
-		all := make([]place, 0, len(others))
+	for ring := range ringCount {
+		own := positionOf(ring, self)
+		all := make([]position, 0, len(others))
 		for _, name := range others {
-			all = append(all, placeOf(ring, name))
+			all = append(all, positionOf(ring, name))
 		}
-		after = append(after, next(own, all, place.compare).name)
-		before = append(before, next(own, all, func(a, b place) int { return b.compare(a) }).name)
+		successors = append(successors, nextOnRing(own, all, position.compare).name)
+		predecessors = append(predecessors, nextOnRing(own, all, func(a, b position) int { return b.compare(a) }).name)
 	}
-	slices.Sort(after)
-	slices.Sort(before)
-	return slices.Compact(after), slices.Compact(before)
+	slices.Sort(successors)
+	slices.Sort(predecessors)
+	return slices.Compact(successors), slices.Compact(predecessors)
 }
 
-// next returns the first place after own in an order, or the first of all.
-func next(own place, all []place, compare func(a, b place) int) place {
+// nextOnRing returns the first position after own in an order, or the first of all.
+func nextOnRing(own position, all []position, compare func(a, b position) int) position {
 	first, found := slices.MinFunc(all, compare), false
 	best := first
 	for _, p := range all {
--- a/gossiper/roster.go
+++ b/gossiper/roster.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// Roster is what one process knows of the fleet: a list of its processes, which all
-// come to agree on, and apart from it who was heard just now. Its zero value is empty.
+// Roster is one process's knowledge of the fleet: the membership list, on which all
+// processes converge, and, apart from it, when each peer was last received. Its zero
+// value is empty.
 type Roster struct {
-	self  Member
-	peers map[string]*record
-	news  news
+	self    Member
+	peers   map[string]*record
+	updates updateQueue
 
-	// digest is that of the list, this process included.
+	// digest is the hash of the list, this process included.
 	digest uint32
-	// All processes, by name, and the names of those that this one sends to each round,
-	// or is sent to by, because they are its neighbours on the circles. They are found
-	// anew when the list has changed.
-	order  []*record
-	after  []string
-	before map[string]bool
-	stale  bool
-	fleet  []Member // what Fleet returns; nil after a change
-
-	changes []Change        // since they were last asked for
-	near    map[string]bool // who carries for the same groups, by the division
-	accused map[string]bool // silent by the list, and yet heard: to be told of it
-	swept   time.Time
-	asked   time.Time // when another's list was last asked for
-	agreed  int       // lists heard in a row that were the same as this one
-	dissent int       // how many more lists were heard that differ than that agree
-}
-
-// record is one process of the fleet as this one sees it.
+	// sorted holds all other processes by name. successors are those that this process
+	// sends to in each round on the rings, and predecessors those that send to it.
+	// refreshRings computes them anew when the list has changed.
+	sorted        []*record
+	successors    []string
+	predecessors  map[string]bool
+	ringsOutdated bool
+	fleetCache    []Member // result of Fleet; nil after a change
+
+	changes          []Change        // since the last call of Changes
+	groupPeers       map[string]bool // gateways of the same groups, by the assignment
+	wronglySuspected map[string]bool // suspect or dead in the list, but received: they are sent the entry
+	lastSweep        time.Time
+	listRequested    time.Time // time of the last request for another process's list
+	agreedInRow      int       // equal digests received in a row
+	dissent          int       // differing digests received minus equal ones, not below 0
+}
+
+// record is what this process knows of another one.
 type record struct {
 	Peer
-	said     Member
-	changed  time.Time // when its condition was last stated anew
-	expected time.Time // since when it should be heard each round; zero if it needn't
-	trusted  time.Time // until when this process doesn't accuse it
+	entry         Member
+	changedAt     time.Time // when its condition last changed
+	expectedSince time.Time // since when a datagram is expected in each round; zero if none is
+	trustedUntil  time.Time // until when this process does not suspect it
 }
 
-// Change is that another condition of a process is stated, here or by others.
+// Change is a change of a process's condition, found here or received from others.
 type Change struct {
 	Member
 	Before Condition
-	// Heard is when the process itself was last heard; zero if it never was.
-	Heard time.Time
+	// LastSeen is when a state of the process itself was last received; zero if never.
+	LastSeen time.Time
 }
 
-// Changes returns what has changed since the last call.
+// Changes returns the changes since the last call.
 func (r *Roster) Changes() []Change {
 	out := r.changes
 	r.changes = nil
 	return out
 }
 
-// SetSelf sets who this process is. It is called once, before anything is heard.
+// SetSelf sets the entry of this process. Call it once, before any other method.
 func (r *Roster) SetSelf(self Member) {
 	r.self = self
 	r.digest ^= self.digest()
-	r.stale = true
+	r.ringsOutdated = true
 }
 
-// AddListed takes in that a process is in the store's list.
+// AddListed adds a process from the store's list.
 func (r *Roster) AddListed(s State, now time.Time) {
 	if r.peers[s.Name] != nil || s.Name == r.self.Name {
 		return
@@ -72,14 +73,14 @@
 	if r.peers == nil {
 		r.peers = map[string]*record{}
 	}
-	p := &record{Peer: Peer{State: m.state(), Listed: now}, said: m, changed: now}
+	p := &record{Peer: Peer{State: m.state(), AddedAt: now}, entry: m, changedAt: now}
 	r.peers[m.Name] = p
 	r.digest ^= m.digest()
-	r.stale, r.fleet = true, nil
+	r.ringsOutdated, r.fleetCache = true, nil
 	return p
 }
 
-// state returns what is known of a process that has said nothing itself.
+// state returns the state of a process from which none was received yet.
 func (m *Member) state() State {
 	return State{
 		Name: m.Name, Zone: m.Zone, GossipAddr: m.GossipAddr, GatewayAddr: m.GatewayAddr, Millicores: m.Millicores,
@@ -87,8 +88,8 @@
 	}
 }
 
-// Receive takes in a datagram. One of an earlier run of the same process changes
-// nothing.
+// Receive processes a state from a peer. One of an earlier start of the same process
+// changes nothing.
 func (r *Roster) Receive(s State, now time.Time) {
 	m := s.member()
 	p := r.peers[s.Name]
@@ -97,96 +98,99 @@
 		return
 	case p == nil:
 		p = r.add(m, now)
-		r.news.put(m)
+		r.updates.push(m)
 	case s.Start < p.Start:
-		r.earlier(p, now)
+		r.receiveEarlier(p, now)
 		return
-	case r.weigh(p, m, now):
-		r.news.put(p.said)
+	case r.replaceIfNewer(p, m, now):
+		r.updates.push(p.entry)
 	}
-	for _, said := range s.News {
-		r.tell(said, now)
+	for _, update := range s.Updates {
+		r.mergeUpdate(update, now)
 	}
-	r.compare(s.FleetDigest)
-	s.News = nil
+	r.compareDigest(s.FleetDigest)
+	s.Updates = nil
 	p.State, p.LastSeen = s, now
-	if p.said.Condition != Alive {
-		r.accuse(p)
+	if p.entry.Condition != Alive {
+		r.notifySuspect(p)
 	}
 }
 
-// earlier takes in a datagram of an earlier run, or of one whose clock has gone back. If
-// the later one isn't heard it is told what is said of it, and raises its Start.
-func (r *Roster) earlier(p *record, now time.Time) {
-	if now.Sub(p.LastSeen) >= silence {
-		r.accuse(p)
+// receiveEarlier handles a state of an earlier start, or of a start whose clock was set
+// back. If the later start is not received any more, the sender is sent the entry about
+// it, and raises its Start.
+func (r *Roster) receiveEarlier(p *record, now time.Time) {
+	if now.Sub(p.LastSeen) >= aliveTimeout {
+		r.notifySuspect(p)
 	}
 }
 
-// accuse has a process that is heard told that the list has it for silent. Only it
-// can contradict that, and else those that it doesn't send to would believe it.
-func (r *Roster) accuse(p *record) {
-	if r.accused == nil {
-		r.accused = map[string]bool{}
+// notifySuspect makes the next round include a process that is received although the
+// list has it as suspect or dead. Only the process itself can refute that, and without it
+// those that it does not send to would accept the entry.
+func (r *Roster) notifySuspect(p *record) {
+	if r.wronglySuspected == nil {
+		r.wronglySuspected = map[string]bool{}
 	}
-	r.accused[p.Name] = true
-	r.news.put(p.said)
+	r.wronglySuspected[p.Name] = true
+	r.updates.push(p.entry)
 }
 
-// Fleet returns the other processes that aren't gone, by name, whether they answer just
-// now or not. Who carries is divided among them: divided among those that answer, each
-// loss of a datagram would move connections. The slice isn't changed any more.
+// Fleet returns the other processes that are not dead, by name, whether they answer now
+// or not. Gateways are assigned among them: assigned among those that answer, each lost
+// datagram would move connections. The slice is not modified later.
 func (r *Roster) Fleet() []Member {
-	if r.fleet != nil {
-		return r.fleet
+	if r.fleetCache != nil {
+		return r.fleetCache
 	}
-	r.turn()
-	r.fleet = make([]Member, 0, len(r.order))
-	for _, p := range r.order {
-		if p.said.Condition != Gone {
-			r.fleet = append(r.fleet, p.said)
+	r.refreshRings()
+	r.fleetCache = make([]Member, 0, len(r.sorted))
+	for _, p := range r.sorted {
+		if p.entry.Condition != Dead {
+			r.fleetCache = append(r.fleetCache, p.entry)
 		}
 	}
-	return r.fleet
+	return r.fleetCache
 }
 
-// Live returns the peers that were heard lately, by name: all that this process decides
-// with, which it hears each round.
+// Live returns the peers that were received lately, by name. They include all peers that
+// this process decides with, since it receives those in each round.
 func (r *Roster) Live(now time.Time) []Peer {
-	r.turn()
+	r.refreshRings()
 	var out []Peer
-	for _, p := range r.order {
-		if now.Sub(p.LastSeen) < silence {
+	for _, p := range r.sorted {
+		if now.Sub(p.LastSeen) < aliveTimeout {
 			out = append(out, p.Peer)
 		}
 	}
 	return out
 }
 
-// Answers reports whether a process is one that may be asked, and returns what was last
-// heard of it. One that needn't be heard each round counts while nobody says otherwise.
-func (r *Roster) Answers(name string, now time.Time) (Peer, bool) {
+// Reachable reports whether requests may be sent to a process, and returns its last
+// state. A process that need not be received in each round counts as reachable while
+// no entry says otherwise.
+func (r *Roster) Reachable(name string, now time.Time) (Peer, bool) {
 	p := r.peers[name]
-	if p == nil || !p.answers(now) {
+	if p == nil || !p.isReachable(now) {
 		return Peer{}, false
 	}
 	return p.Peer, true
 }
 
-func (p *record) answers(now time.Time) bool {
-	if now.Sub(p.LastSeen) < silence {
+func (p *record) isReachable(now time.Time) bool {
+	if now.Sub(p.LastSeen) < aliveTimeout {
 		return true
 	}
-	missed := !p.expected.IsZero() && now.Sub(later(p.LastSeen, p.expected)) >= accusable
-	return p.said.Condition == Alive && !missed
+	missed := !p.expectedSince.IsZero() && now.Sub(later(p.LastSeen, p.expectedSince)) >= suspectTimeout
+	return p.entry.Condition == Alive && !missed
 }
 
-// Answering returns the names of those that may be asked.
-func (r *Roster) Answering(now time.Time) []string {
-	r.turn()
+// ReachableNames returns the names of the processes to which requests may be sent.
+func (r *Roster) ReachableNames(now time.Time) []string {
+	r.refreshRings()
 	var out []string
-	for _, p := range r.order {
-		if p.answers(now) {
+	for _, p := range r.sorted {
+		if p.isReachable(now) {
 			out = append(out, p.Name)
 		}
 	}
--- a/gossiper/state_test.go
+++ b/gossiper/state_test.go
@@ -12,7 +12,7 @@
 	"basildale.example/basildale/versioner"
 )
 
-func full(groups int) State {
+func fullState(groups int) State {
 	s := State{
 		Name: "front-vejle-hal-1", Zone: "vejle-hal", Start: 1785262487014000000,
 		GossipAddr: netip.MustParseAddrPort("10.1.0.8:7440"), GatewayAddr: netip.MustParseAddrPort("10.1.0.8:7440"), OperatorsAddr: netip.MustParseAddrPort("10.1.0.8:7455"),
@@ -27,32 +27,32 @@
 	return s
 }
 
-// What a process says arrives as it was said.
-func TestStatesComeThrough(t *testing.T) {
+// A state is decoded as it was encoded.
+func TestStateRoundTrip(t *testing.T) {
 	is := is.New(t)
-	said := full(3)
-	said.Groups["nyka330"] = GroupState{Leader: "i-1", LeaderFault: CommitStalled, Token: 7, FencedLeader: "i-1", FenceTerm: tracker.Term{}}
-	said.News = []Member{said.member(), {Name: "front-vejle-hal-2", Start: 7, Incarnation: 2, Condition: Silent}}
-	b, err := encode(said)
+	sent := fullState(3)
+	sent.Groups["nyka330"] = GroupState{Leader: "i-1", LeaderFault: CommitStalled, Token: 7, FencedLeader: "i-1", FenceTerm: tracker.Term{}}
+	sent.Updates = []Member{sent.member(), {Name: "front-vejle-hal-2", Start: 7, Incarnation: 2, Condition: Suspect}}
+	b, err := encode(sent)
 	is.NoErr(err)
-	heard, err := decode(b)
+	received, err := decode(b)
 	is.NoErr(err)
-	is.Equal(heard, said)
-	said.GatewayAddr = netip.MustParseAddrPort("10.1.0.8:7441")
-	b, err = encode(said)
+	is.Equal(received, sent)
+	sent.GatewayAddr = netip.MustParseAddrPort("10.1.0.8:7441")
+	b, err = encode(sent)
 	is.NoErr(err)
-	heard, err = decode(b)
+	received, err = decode(b)
 	is.NoErr(err)
-	is.Equal(heard, said)
+	is.Equal(received, sent)
 }
 
-// Symptom: what the proxies say to each other is most of the bytes between zones,
-// which are paid for. Sequence: 70 processes, each with twelve datagrams every half
-// second. Cause: each names every group with every field spelled out, 1,300 bytes.
-func TestStatesAreShort(t *testing.T) {
+// Guards against states that make up most of the paid bytes between zones: 70 processes
+// send twelve datagrams each in every half second, and with every field and group
+// spelled out one had 1,300 bytes.
+func TestStateSize(t *testing.T) {
 	is := is.New(t)
 	for groups, most := range map[int]int{0: 100, 1: 130, 8: 320} {
-		b, err := encode(full(groups))
+		b, err := encode(fullState(groups))
 		is.NoErr(err)
 		t.Log(groups, "groups:", len(b), "bytes")
 		is.True(len(b) <= most)
--- a/gossiper/targets.go
+++ b/gossiper/targets.go
@@ -6,80 +6,81 @@
 	"slices"
 )
 
-// SetGroupPeers sets who carries for the same groups as this process. They are told each round,
-// also before they were ever heard.
+// SetGroupPeers sets the processes that are gateways of the same groups as this one.
+// They are targets of each round, also before anything was received from them.
 func (r *Roster) SetGroupPeers(names []string) {
-	r.near = make(map[string]bool, len(names))
+	r.groupPeers = make(map[string]bool, len(names))
 	for _, name := range names {
-		r.near[name] = true
+		r.groupPeers[name] = true
 	}
 }
 
-// Targets returns whom to send to this round: all peers while they are few. Else
-// first those that have the duty for a group that this process carries for: a leader
-// is replaced once they have heard of trouble from most. Then those that carry for a
-// group that this process has the duty for, which take it over when they don't hear of
-// it, then those that carry for the same groups, which decide together on leaders, then
-// the next on the circles, and some drawn at random, silent ones included, since a
-// partition heals.
+// Targets returns the addresses to send to in this round: all peers in a fleet of at
+// most maxFullMesh. In a larger one, in this order: the holders of leases for groups that
+// this process is a gateway of, since a leader is replaced once its holder has reports
+// of faults from most gateways; the gateways of groups whose lease this process holds,
+// since they take the lease over when they do not receive its holder; the other gateways
+// of the same groups, which decide on leaders together; the ring successors; and some
+// peers drawn at random, suspect ones included, since a partition heals.
 func (r *Roster) Targets(self State, rng *rand.Rand) []netip.AddrPort {
-	r.turn()
-	var holders, charges, near []netip.AddrPort
-	all := len(r.peers) <= few
-	for _, p := range r.order {
-		lately := r.swept.Sub(p.LastSeen) < silence // what it said before needn't hold any more
+	r.refreshRings()
+	var holders, leaseGateways, gateways []netip.AddrPort
+	all := len(r.peers) <= maxFullMesh
+	for _, p := range r.sorted {
+		recent := r.lastSweep.Sub(p.LastSeen) < aliveTimeout // an older state need not hold any more
 		switch {
-		case lately && HoldsLeaseFor(p.State, self):
+		case recent && HoldsLeaseFor(p.State, self):
 			holders = append(holders, p.GossipAddr)
-		case lately && HoldsLeaseFor(self, p.State):
-			charges = append(charges, p.GossipAddr)
-		case all || r.near[p.Name] || r.accused[p.Name] || lately && together(self, p.State):
-			near = append(near, p.GossipAddr)
+		case recent && HoldsLeaseFor(self, p.State):
+			leaseGateways = append(leaseGateways, p.GossipAddr)
+		case all || r.groupPeers[p.Name] || r.wronglySuspected[p.Name] || recent && shareGroup(self, p.State):
+			gateways = append(gateways, p.GossipAddr)
 		}
 	}
-	clear(r.accused)
-	for _, list := range [][]netip.AddrPort{holders, charges, near} {
+	clear(r.wronglySuspected)
+	for _, list := range [][]netip.AddrPort{holders, leaseGateways, gateways} {
 		slices.SortFunc(list, netip.AddrPort.Compare)
 		rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
-	near = slices.Concat(holders, charges, near)
+	gateways = slices.Concat(holders, leaseGateways, gateways)
 	if all {
-		return near
+		return gateways
 	}
-	return r.others(near[:min(len(near), MaxGroupPeers)], rng)
+	return r.addOthers(gateways[:min(len(gateways), MaxGroupPeers)], rng)
 }
 
-// Successors returns whom to pass on to what is new of the store: the next on the circles, all
-// peers while they are few.
+// Successors returns the addresses that get newer data of the store first: the ring
+// successors, or all peers in a fleet of at most maxFullMesh.
 func (r *Roster) Successors(rng *rand.Rand) []netip.AddrPort {
-	if len(r.peers) <= few {
+	if len(r.peers) <= maxFullMesh {
 		return r.Targets(State{}, rng)
 	}
-	r.turn()
-	out := make([]netip.AddrPort, 0, rings)
-	for _, name := range r.after {
+	r.refreshRings()
+	out := make([]netip.AddrPort, 0, ringCount)
+	for _, name := range r.successors {
 		out = append(out, r.peers[name].GossipAddr)
 	}
 	return out
 }
 
-// others adds the next on the circles, and some drawn at random.
-func (r *Roster) others(targets []netip.AddrPort, rng *rand.Rand) []netip.AddrPort {
+// addOthers adds the ring successors, and some peers drawn at random.
+func (r *Roster) addOthers(targets []netip.AddrPort, rng *rand.Rand) []netip.AddrPort {
 	add := func(p *record) {
 		if p != nil && !slices.Contains(targets, p.GossipAddr) {
 			targets = append(targets, p.GossipAddr)
 		}
 	}
-	for _, name := range r.after {
+	for _, name := range r.successors {
 		add(r.peers[name])
 	}
-	for range strangers {
-		add(r.order[rng.IntN(len(r.order))])
+	for range randomTargets {
+		add(r.sorted[rng.IntN(len(r.sorted))])
 	}
 	return targets
 }
 
-// HoldsLeaseFor reports whether a peer carries for a group that the holder has the duty for.
+// HoldsLeaseFor reports whether holder has the lease of a group that peer is a gateway
+// of.
 func HoldsLeaseFor(holder, peer State) bool {
 	if len(peer.Groups) == 0 {
 		return false
@@ -92,8 +93,8 @@
 	return false
 }
 
-// together reports whether two processes carry for the same group.
-func together(a, b State) bool {
+// shareGroup reports whether two processes are gateways of the same group.
+func shareGroup(a, b State) bool {
 	if len(b.Groups) == 0 {
 		return false
 	}
--- a/gossiper/watch.go
+++ b/gossiper/watch.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Sweep is called before each round. It accuses those that should have been heard, takes
-// for gone who has been silent for long, and returns the names of those that are
-// forgotten.
+// Sweep is called before each round. It marks as suspect those processes that should have
+// been received and were not, marks as dead those that have been suspect for long, and
+// removes those that have been dead for long. It returns the names of the removed.
 func (r *Roster) Sweep(now time.Time) []string {
-	r.turn()
-	stood := now.Sub(r.swept) > stalled
-	r.swept = now
+	r.refreshRings()
+	paused := now.Sub(r.lastSweep) > pauseThreshold
+	r.lastSweep = now
 	var dropped []string
-	for _, p := range r.order {
-		if stood {
-			p.expected = time.Time{}
+	for _, p := range r.sorted {
+		if paused {
+			p.expectedSince = time.Time{}
 		}
-		r.watch(p, now)
-		if p.said.Condition == Gone && now.Sub(p.changed) > forget && now.Sub(p.LastSeen) > forget {
+		r.checkProcess(p, now)
+		if p.entry.Condition == Dead && now.Sub(p.changedAt) > removeTimeout && now.Sub(p.LastSeen) > removeTimeout {
 			dropped = append(dropped, p.Name)
 		}
 	}
 	for _, name := range dropped {
 		delete(r.peers, name)
-		r.stale, r.fleet = true, nil
+		r.ringsOutdated, r.fleetCache = true, nil
 	}
 	return dropped
 }
 
-// turn finds the neighbours on the circles when the list has changed.
-func (r *Roster) turn() {
-	if !r.stale {
+// refreshRings computes the ring neighbours when the list has changed.
+func (r *Roster) refreshRings() {
+	if !r.ringsOutdated {
 		return
 	}
-	r.stale = false
-	r.order = slices.SortedFunc(maps.Values(r.peers), func(a, b *record) int { return cmp.Compare(a.Name, b.Name) })
-	var there []string
-	for _, p := range r.order {
-		if p.said.Condition != Gone {
-			there = append(there, p.Name)
+	r.ringsOutdated = false
+	r.sorted = slices.SortedFunc(maps.Values(r.peers), func(a, b *record) int { return cmp.Compare(a.Name, b.Name) })
+	var members []string
+	for _, p := range r.sorted {
+		if p.entry.Condition != Dead {
+			members = append(members, p.Name)
 		}
 	}
-	after, before := neighbours(r.self.Name, there)
-	r.after, r.before = after, set(before)
+	successors, predecessors := neighbours(r.self.Name, members)
+	r.successors, r.predecessors = successors, toSet(predecessors)
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	out := make(map[string]bool, len(names))
 	for _, name := range names {
 		out[name] = true
@@ -56,40 +56,40 @@
 	return out
 }
 
-// watch judges one process by what was heard of it.
-func (r *Roster) watch(p *record, now time.Time) {
+// checkProcess updates the condition of one process from when it was last received.
+func (r *Roster) checkProcess(p *record, now time.Time) {
 	switch {
-	case !r.hears(p):
-		p.expected = time.Time{}
-	case p.expected.IsZero():
-		p.expected = now
+	case !r.isExpected(p):
+		p.expectedSince = time.Time{}
+	case p.expectedSince.IsZero():
+		p.expectedSince = now
 	}
-	limit := first
-	if p.LastSeen.After(p.expected) {
-		limit = accusable
+	limit := firstContactTimeout
+	if p.LastSeen.After(p.expectedSince) {
+		limit = suspectTimeout
 	}
-	missing := !p.expected.IsZero() && now.Sub(later(p.LastSeen, p.expected)) >= limit
+	missing := !p.expectedSince.IsZero() && now.Sub(later(p.LastSeen, p.expectedSince)) >= limit
 	switch {
-	case p.said.Condition == Alive && missing && now.After(p.trusted):
-		r.declare(p, Silent, now)
-	case p.said.Condition == Silent && now.Sub(later(p.changed, p.LastSeen)) > memory:
-		r.declare(p, Gone, now)
-	case p.said.Condition == Silent && !p.expected.IsZero() && p.LastSeen.IsZero() && now.Sub(p.Listed) > introduction:
-		r.declare(p, Gone, now)
+	case p.entry.Condition == Alive && missing && now.After(p.trustedUntil):
+		r.announce(p, Suspect, now)
+	case p.entry.Condition == Suspect && now.Sub(later(p.changedAt, p.LastSeen)) > deadTimeout:
+		r.announce(p, Dead, now)
+	case p.entry.Condition == Suspect && !p.expectedSince.IsZero() && p.LastSeen.IsZero() && now.Sub(p.AddedAt) > neverSeenTimeout:
+		r.announce(p, Dead, now)
 	}
 }
 
-// hears reports whether a process sends to this one each round.
-func (r *Roster) hears(p *record) bool {
-	return len(r.peers) <= few || r.before[p.Name]
+// isExpected reports whether a process sends to this one in each round.
+func (r *Roster) isExpected(p *record) bool {
+	return len(r.peers) <= maxFullMesh || r.predecessors[p.Name]
 }
 
-// declare states a condition of a process anew, and tells it on.
-func (r *Roster) declare(p *record, c Condition, now time.Time) {
-	m := p.said
+// announce sets the condition of a process and queues the new entry as an update.
+func (r *Roster) announce(p *record, c Condition, now time.Time) {
+	m := p.entry
 	m.Condition = c
-	if r.weigh(p, m, now) {
-		r.news.put(p.said)
+	if r.replaceIfNewer(p, m, now) {
+		r.updates.push(p.entry)
 	}
 }
 
