--- a/carrier/alone.go
+++ b/carrier/alone.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// lately is how long ago a leader may have refused work, and a replica shown that it
-	// is late, to count as such now: a process that carries has several of both each
-	// second where there is too much work.
-	lately = time.Second
+	// recentWindow is how recently a leader must have rejected work, and a replica must
+	// have lagged, to count as doing so now. Under overload a gateway sees several of both
+	// each second.
+	recentWindow = time.Second
 )
 
-// alone reports whether the leader has more work than it can do, while every replica
-// that answers is later than any read here may be old. The caller has the lock.
-func (g *Group) alone(now time.Time) bool {
-	leader := g.present()
-	if leader == nil || now.Sub(leader.turned) > lately {
+// leaderOverloaded reports whether the leader rejects work for lack of capacity while every
+// replica that answers lags by more than the smallest staleness that any read here allows.
+// The caller must hold g.mu.
+func (g *Group) leaderOverloaded(now time.Time) bool {
+	leader := g.reachableLeaderLocked()
+	if leader == nil || now.Sub(leader.rejectedAt) > recentWindow {
 		return false
 	}
-	late := 0
-	for _, m := range g.members {
-		if m == leader || m.barred || m.entry.Leaving {
+	lagging := 0
+	for _, u := range g.upstreams {
+		if u == leader || u.ejected || u.entry.Leaving {
 			continue
 		}
-		if m.lag.by(now) <= g.ages.least {
+		if u.lag.recent(now) <= g.ages.minAge {
 			return false
 		}
-		late++
+		lagging++
 	}
-	return late > 0
+	return lagging > 0
 }
--- a/carrier/carrier.go
+++ b/carrier/carrier.go
@@ -12,12 +12,12 @@
 	"basildale.example/basildale/tracker"
 )
 
-// What opening a link can end with, besides errors of the network.
+// Errors with which opening a link can end, besides network errors.
 var (
-	// ErrConnectionLimit means that the upstream has as many connections as it takes.
+	// ErrConnectionLimit means that the upstream is at its connection limit.
 	ErrConnectionLimit = errors.New("carrier: upstream has too many connections")
-	// ErrHandshakeTimeout means that the upstream took the connection and didn't greet in
-	// time: it lives, and has no slot for it.
+	// ErrHandshakeTimeout means that the upstream accepted the connection but did not
+	// complete the handshake in time: it is alive and has no free slot for it.
 	ErrHandshakeTimeout = errors.New("carrier: upstream is too busy for another connection")
 	// ErrMisdirected means that another upstream answers at the address.
 	ErrMisdirected = errors.New("carrier: another upstream is at the address")
@@ -27,41 +27,42 @@
 type Registry struct {
 	// Zone is this process's availability zone.
 	Zone string
-	// LeaveTimeout is how long an upstream that says that it leaves may get new work; zero sets
-	// no bound.
+	// LeaveTimeout is how long an upstream that has announced that it is leaving may get
+	// new work; zero means no limit.
 	LeaveTimeout time.Duration
-	// Dial opens a link to an upstream for the statements of a workspace; "" stands for
-	// those that belong to none, and for the process's own.
+	// Dial opens a link to an upstream for the statements of a workspace. The empty
+	// workspace stands for statements that belong to none, and for this process's own.
 	Dial func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error)
-	// ConnectionShares, when set, says for each group how many connections this process may have
-	// to each upstream, which takes so many from so many proxies.
-	ConnectionShares func(most map[string]int, proxies int) map[string]int
+	// ConnectionShares, when set, returns for each group how many connections this process
+	// may have to each upstream, given the connections that all proxies share and the
+	// number of proxies.
+	ConnectionShares func(maxConns map[string]int, proxies int) map[string]int
 	// CountPlacement, when set, counts each choice of an upstream by its reason.
 	CountPlacement func(reason string)
-	// RequestSample, when set, asks a peer for a position of a group's leader that is
-	// taken after the question.
+	// RequestSample, when set, requests from a peer a position of the group's leader that
+	// is taken after the request.
 	RequestSample func(group string) (tracker.Mark, bool)
-	// Now is a clock that also counts the time in which the machine is
-	// suspended. It is only compared with itself.
+	// Now is a clock that also counts the time in which the machine is suspended. Its times
+	// are only compared with each other.
 	Now func() time.Time
 	Log *zap.Logger
 
-	mu     sync.Mutex
-	groups map[string]*Group
-	shares map[string]int
-	most   map[string]int // connections of each upstream of a group that all proxies share
+	mu       sync.Mutex
+	groups   map[string]*Group
+	shares   map[string]int
+	maxConns map[string]int // connections to each upstream of a group that all proxies share
 }
 
-// reserved is how many connections of each upstream no proxy takes: those of a
-// proxy that was killed and comes back before the old ones are dropped, and the
-// ones that leaders of a change need.
-const reserved = 4
+// reservedConns is how many connections of each upstream are left out of the shares. They
+// are for a proxy that was killed and is back before the upstream has dropped its old
+// connections, and for the processes that carry out a change of leader.
+const reservedConns = 4
 
-// Group returns a group by its name, and whether it is known: the configuration
-// names it, or an upstream of it is listed. Statements of a group without upstreams
-// wait for one as they do for a leader. After a loss of power everywhere the
-// configuration may be known half a second before the upstreams; refused at once,
-// callers had used up their tries by then.
+// Group returns a group by its name, and whether it is known: the configuration names it,
+// or an upstream of it is listed. Statements for a group without upstreams wait for one, as
+// they do for a leader. After a power failure of the whole fleet the configuration may be
+// known half a second before the upstreams; callers that were refused at once had used up
+// their retries by then.
 func (c *Registry) Group(name string) (*Group, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	return out
 }
 
-// Apply takes in the upstreams that the store lists.
+// Apply replaces the known upstreams by those that the store lists.
 func (c *Registry) Apply(list []cataloger.Upstream) {
 	byGroup := map[string][]cataloger.Upstream{}
 	for _, u := range list {
@@ -101,42 +102,42 @@
 		c.groups = map[string]*Group{}
 	}
 	if c.groups[name] == nil {
-		c.groups[name] = &Group{name: name, carrier: c, changed: make(chan struct{}), leaderless: c.Now()}
+		c.groups[name] = &Group{name: name, registry: c, changed: make(chan struct{}), leaderlessSince: c.Now()}
 	}
 }
 
-// DivideConnections says how many proxies share the connections of the upstreams, and how
-// many connections each upstream of a group takes.
+// DivideConnections sets how many proxies share the connections of the upstreams, and how
+// many connections each upstream of a group accepts.
 func (c *Registry) DivideConnections(proxies int, settings []cataloger.GroupSettings) {
-	most := make(map[string]int, len(settings))
+	maxConns := make(map[string]int, len(settings))
 	for _, s := range settings {
-		most[s.Name] = s.MaxConnections - reserved
+		maxConns[s.Name] = s.MaxConnections - reservedConns
 	}
-	shares := c.divided(most, proxies)
+	shares := c.computeShares(maxConns, proxies)
 	c.mu.Lock()
-	c.shares, c.most = shares, most
+	c.shares, c.maxConns = shares, maxConns
 	c.mu.Unlock()
 	for _, s := range settings {
 		c.ensure(s.Name)
 	}
 	for _, g := range c.Groups() {
-		g.divide()
+		g.applyShare()
 	}
 }
 
-func (c *Registry) divided(most map[string]int, proxies int) map[string]int {
+func (c *Registry) computeShares(maxConns map[string]int, proxies int) map[string]int {
 	if c.ConnectionShares != nil {
-		return c.ConnectionShares(most, proxies)
+		return c.ConnectionShares(maxConns, proxies)
 	}
-	shares := make(map[string]int, len(most))
-	for group, n := range most {
+	shares := make(map[string]int, len(maxConns))
+	for group, n := range maxConns {
 		shares[group] = max(1, n/max(1, proxies))
 	}
 	return shares
 }
 
-// share returns how many connections this proxy may have to each upstream of a
-// group; one while nothing is known of the group.
+// share returns how many connections this proxy may have to each upstream of a group; one
+// while the group's share is not known.
 func (c *Registry) share(group string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,17 +147,16 @@
 	return 1
 }
 
-// window returns how many statements this proxy may have at an upstream with so many
-// slots, whatever the others have there.
-func (c *Registry) window(group string, slots int) int {
+// minWindow returns how many statements this proxy may always have at an upstream with the
+// given number of slots, however many the other proxies have there.
+func (c *Registry) minWindow(group string, slots int) int {
 	share := c.share(group)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return part(slots, share, c.most[group])
+	return windowShare(slots, share, c.maxConns[group])
 }
 
-// Tick looks after upstreams that don't answer. It is called about each tenth of
-// a second.
+// Tick checks upstreams that do not answer. It must be called about ten times a second.
 func (c *Registry) Tick() {
 	now := c.Now()
 	for _, g := range c.Groups() {
--- a/carrier/command.go
+++ b/carrier/command.go
@@ -6,11 +6,11 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Verb is what a command asks of an upstream.
+// Verb is the kind of a command.
 type Verb uint8
 
-// The verbs. Those from Status on are the proxy's own and concern the upstream
-// as a whole.
+// The verbs. Those from Status on are sent by the proxy itself and concern the upstream as
+// a whole.
 const (
 	Read Verb = iota + 1
 	Write
@@ -30,22 +30,22 @@
 
 // Command is one statement for an upstream.
 type Command struct {
-	// ID is that of the caller's request; empty for the proxy's own statements.
+	// ID is the id of the caller's request; empty for the proxy's own statements.
 	ID   string
 	Verb Verb
-	// Since is a point that the upstream's log must contain, or it refuses; zero
-	// asks for nothing.
+	// Since is a position that the upstream's log must contain, or it refuses the command;
+	// zero sets no condition.
 	Since tracker.Mark
-	// Text is the statement as its caller wrote it, for Read, Write and Commit.
+	// Text is the statement as the caller wrote it, for Read, Write and Commit.
 	Text string
-	// Name is that of a session value, or of a prepared statement.
+	// Name is the name of a session value or of a prepared statement.
 	Name string
-	// Value is a session value, the shape of a prepared statement, or the
-	// arguments of an execution.
+	// Value is a session value, the shape of a prepared statement, or the arguments of an
+	// execution.
 	Value string
-	// Writes says of a prepared statement that it changes data.
+	// Writes is true for a prepared statement that changes data.
 	Writes bool
-	// Term is that of Suspend and Demote.
+	// Term is the term of Suspend and Demote.
 	Term tracker.Term
 }
 
@@ -59,11 +59,11 @@
 	Broken              // in a transaction that has failed
 )
 
-// Code says how a statement ended when it didn't succeed.
+// Code is the outcome of a statement.
 type Code uint8
 
-// The codes. Busy to Overloaded promise that nothing of the caller's attempt is
-// kept; the others promise nothing.
+// The codes. Busy to Overloaded guarantee that nothing of the caller's attempt is kept; the
+// others guarantee nothing.
 const (
 	OK Code = iota
 	Busy
@@ -80,12 +80,13 @@
 	Forbidden
 	TooLarge
 	Malformed
-	// Unavailable never reaches a caller: this process can't carry the statement now,
-	// and says so because another one may.
+	// Unavailable never reaches a caller: this process cannot run the statement now, and
+	// answers so because another process may.
 	Unavailable
 )
 
-// GuaranteesNoEffect reports whether the code says that nothing is kept.
+// GuaranteesNoEffect reports whether the code guarantees that nothing of the attempt is
+// kept.
 func (c Code) GuaranteesNoEffect() bool { return c >= Busy && c <= Overloaded }
 
 // String returns the code as one short word.
@@ -97,53 +98,54 @@
 	return "unknown"
 }
 
-// Answer is what became of one command.
+// Answer is the outcome of one command.
 type Answer struct {
 	Rows []string
-	// Signature proves that an upstream ran the statement; "-" for those that
-	// need no run.
+	// Signature proves that an upstream ran the statement; "-" for statements that are not
+	// run.
 	Signature string
 	Code      Code
-	// Text explains a code that isn't OK, for its reader.
+	// Text explains a code other than OK to a person.
 	Text  string
 	State State
-	// Mark is how far the upstream's log had come; zero when unknown.
+	// Mark is the end of the upstream's log; zero when unknown.
 	Mark tracker.Mark
-	// Waited is how long the statement waited for an upstream and a connection, Ran
-	// how long the upstream took; both are zero where nothing ran.
+	// Waited is how long the statement waited for an upstream and a connection, Ran how
+	// long the upstream took; both are zero where nothing ran.
 	Waited time.Duration
 	Ran    time.Duration
-	// Upstream is the id of the one that answered, for the log.
+	// Upstream is the id of the upstream that answered, for the log.
 	Upstream string
-	// Led says that it led the group, as far as the process that asked it knew.
+	// Led reports whether that upstream led the group, as far as the process that used it
+	// knew.
 	Led bool
 	// Report is the answer to Status, Suspend, Resume and Demote.
 	Report Report
 }
 
-// Report is what an upstream says of itself, in answer to Status, Suspend, Resume
-// and Demote.
+// Report is the state that an upstream reports in answer to Status, Suspend, Resume and
+// Demote.
 type Report struct {
 	Leads bool
 	Term  tracker.Term
-	// Received is the end of its log, also of what it hasn't applied yet.
+	// Received is the end of the upstream's log, including what it has not applied yet.
 	Received tracker.Mark
-	// Held is the term for which it has stopped receiving; zero when it receives.
+	// Held is the term for which its replication is suspended; zero while it receives.
 	Held tracker.Term
 }
 
-// Link is one connection to an upstream. It is used by one goroutine at a time,
-// but for Abort.
+// Link is one connection to an upstream. All methods but Abort must be called by one
+// goroutine at a time.
 type Link interface {
-	// Exchange sends all commands in one write and returns their answers in
-	// order. After an error the link can't be used again; sent tells whether any
-	// byte may have reached the upstream.
+	// Exchange sends all commands in one write and returns their answers in order. After an
+	// error the link cannot be used again; sent reports whether any byte may have reached
+	// the upstream.
 	Exchange(deadline time.Time, commands ...Command) (answers []Answer, sent bool, err error)
-	// Abort makes a running Exchange fail now.
+	// Abort makes a running Exchange fail at once.
 	Abort()
-	// Alive reports whether the link can still be used, without waiting.
+	// Alive reports, without blocking, whether the link can still be used.
 	Alive() bool
-	// InitialMark is the mark that the upstream stated when the link was opened.
+	// InitialMark is the position that the upstream stated when the link was opened.
 	InitialMark() tracker.Mark
 	Close() error
 }
--- a/carrier/conn.go
+++ b/carrier/conn.go
@@ -6,9 +6,9 @@
 	"strconv"
 )
 
-// maxPrepared bounds the prepared statements that one connection keeps. A
-// session rarely has more than a few shapes, which all sessions share by what
-// they are.
+// maxPrepared bounds the prepared statements kept on one connection. A session rarely uses
+// more than a few shapes, and sessions that use the same shape share its prepared
+// statement.
 const maxPrepared = 128
 
 // Value is one session value.
@@ -17,15 +17,15 @@
 	Data string
 }
 
-// Prepared says what a prepared statement is. Two callers that prepare the same
-// under different names share it on a connection.
+// Prepared identifies a prepared statement by its content. Two callers that prepare the
+// same statement under different names share it on a connection.
 type Prepared struct {
 	Shape  string
 	Writes bool
 }
 
-// Alias is the name of the prepared statement on our connections. It is made
-// from what the statement is, so names of callers never collide.
+// Alias is the name of the prepared statement on the upstream's connections. It is derived
+// from the statement's content, so the names that callers choose never collide.
 func (p Prepared) Alias() string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(p.Shape)) // never fails, by its contract
@@ -36,29 +36,29 @@
 	return kind + strconv.FormatUint(h.Sum64(), 36)
 }
 
-// conn is a connection with what its last owners left on it.
+// conn is a connection with the session state that its earlier users left on it.
 type conn struct {
 	Link
-	// workspace is the one whose statements it carries, and no other's.
+	// workspace is the only workspace whose statements run on the connection.
 	workspace string
 	values    []Value // in the order in which they were set
 	prepared  map[Prepared]bool
 }
 
-// prelude returns the commands that make the connection fit a session: they go
-// out in front of its statement, in the same write. What differs from what is in
-// force is set; a value that the session doesn't have can only be taken away by
-// a reset of all.
-func (c *conn) prelude(values []Value, p *Prepared) []Command {
+// setupCommands returns the commands that give the connection a session's state. They are
+// sent in the same write as the session's statement, ahead of it. Values that differ are
+// set; a value that the session does not have can only be removed by a reset of all of
+// them.
+func (c *conn) setupCommands(values []Value, p *Prepared) []Command {
 	var out []Command
-	if c.surplus(values) || len(c.prepared) >= maxPrepared {
+	if c.hasExtraValue(values) || len(c.prepared) >= maxPrepared {
 		out = append(out, Command{Verb: Reset})
-		c.forget()
+		c.clear()
 	}
 	for _, v := range values {
 		if !slices.Contains(c.values, v) {
 			out = append(out, Command{Verb: Set, Name: v.Name, Value: v.Data})
-			c.remember(v)
+			c.setValue(v)
 		}
 	}
 	if p != nil && !c.prepared[*p] {
@@ -71,14 +71,14 @@
 	return out
 }
 
-// surplus reports whether the connection has a value that the session lacks.
-func (c *conn) surplus(values []Value) bool {
+// hasExtraValue reports whether the connection has a value that the session does not have.
+func (c *conn) hasExtraValue(values []Value) bool {
 	return slices.ContainsFunc(c.values, func(has Value) bool {
 		return !slices.ContainsFunc(values, func(v Value) bool { return v.Name == has.Name })
 	})
 }
 
-func (c *conn) remember(v Value) {
+func (c *conn) setValue(v Value) {
 	for i := range c.values {
 		if c.values[i].Name == v.Name {
 			c.values[i] = v
@@ -88,8 +88,8 @@
 	c.values = append(c.values, v)
 }
 
-// forget drops what is known of the connection, after a reset.
-func (c *conn) forget() {
+// clear drops the recorded session state, after a reset.
+func (c *conn) clear() {
 	c.values = nil
 	c.prepared = nil
 }
--- a/carrier/doc.go
+++ b/carrier/doc.go
@@ -1,27 +1,28 @@
-// Package carrier brings statements and transactions to the upstreams of
-// database groups that replicate and confirm by themselves.
+// Package carrier runs statements and transactions on the upstreams of database groups,
+// which replicate their data and confirm commits themselves.
 //
-// A Group follows the upstreams of one group: who leads, which are leaving, how
-// far the leader's log had come at which moment, and which don't answer. Each
-// statement is placed by package placer, gets a pooled connection, and is sent
-// again elsewhere as long as that is harmless. What can't be known is said to be
-// in doubt, never guessed.
+// A Group tracks the upstreams of one group: which one leads, which are leaving, the
+// position of the leader's log at known times, and which do not answer. Package placer
+// chooses the upstream for each statement, which then gets a pooled connection and is
+// retried on another upstream as long as that is safe. An outcome that cannot be known is
+// reported as in doubt, never guessed.
 //
-// Three rules keep reads right whatever this process believes:
+// Three rules keep reads correct even where this process's view is out of date:
 //
-//   - A read that must see everything runs inside a transaction that only the
-//     present leader accepts. A former leader refuses its BEGIN.
-//   - A read that may be old names a position of the leader's log that was asked
-//     for inside the allowed age. An upstream whose log lacks it refuses.
-//   - A session's own writes are named the same way.
+//   - A read that must see every commit runs inside a transaction that only the
+//     current leader accepts. A former leader refuses its BEGIN.
+//   - A read with bounded staleness names a position of the leader's log that was
+//     requested within the allowed age. An upstream whose log lacks it refuses.
+//   - A read that must see its session's writes names the position of the last one
+//     in the same way.
 //
-// The package knows no wire: a Link is a connection of some protocol. Ages are
-// measured by a clock that also counts the time a machine is suspended.
+// The package does not depend on a wire protocol: a Link is a connection of any protocol.
+// Ages are measured by a clock that also counts the time in which the machine is suspended.
 //
 // # Usage
 //
-//	c := &carrier.Carrier{Dial: dial, Now: now, Log: log}
+//	c := &carrier.Registry{Dial: dial, Now: now, Log: log}
 //	c.Apply(upstreams)
 //	group, ok := c.Group("billet-db")
-//	reply := group.Run(carrier.Job{Need: carrier.Need{MaxAge: age}, Deadline: deadline}, command)
+//	reply := group.Run(&carrier.Job{Freshness: cataloger.Bounded, MaxAge: age, Arrived: now(), Deadline: deadline}, command)
 package carrier
--- a/carrier/fault.go
+++ b/carrier/fault.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Bounds of when an upstream counts as failing.
+// Parameters of the failure rate of an upstream.
 const (
-	// faultGain is the weight of a new outcome in the share of failures, as 1/n. A
-	// process of a large fleet has about ten outcomes a second at a leader: with
-	// eight the share follows within a second.
-	faultGain = 8
-	// mostFaults is the share from which an upstream fails. Three failures in a row
-	// reach it, a tenth of lost answers hardly ever does: its share is 0.1 with a
-	// standard deviation of 0.08.
-	mostFaults = 0.3
-	// faultsLast is how long outcomes tell something, when none follow.
-	faultsLast = 1500 * time.Millisecond
+	// failureRateSmoothing is the weight of a new outcome in the failure rate, as 1/n. A
+	// process of a large fleet gets about ten outcomes a second from a leader: with n = 8
+	// the rate follows within a second.
+	failureRateSmoothing = 8
+	// maxFailureRate is the rate above which an upstream counts as failing. Three failures
+	// in a row exceed it; an upstream that loses a tenth of its answers hardly ever does,
+	// as its rate is 0.1 with a standard deviation of 0.08.
+	maxFailureRate = 0.3
+	// failureRateExpiry is how long the rate stays valid after the last outcome.
+	failureRateExpiry = 1500 * time.Millisecond
 )
 
-// faults follows how many of an upstream's outcomes are failures: statements that it
-// ran and failed, and answers that were lost. Its zero value is an upstream that
-// does well.
+// failureRate is a moving average of the part of an upstream's outcomes that are failures:
+// statements that it ran and failed, and answers that were lost. Its zero value is a
+// healthy upstream.
 //
-// An upstream may answer everything that asks whether it is well, and fail what
-// callers want of it. Where it leads, nobody else can do that work: one sees every
-// write of a group fail for as long as the upstream is ill.
-type faults struct {
-	share float64
-	last  time.Time
+// An upstream may pass every health check and still fail the statements of callers. Where
+// it is the leader no other upstream can do that work, so every write of the group fails
+// until the upstream recovers.
+type failureRate struct {
+	rate      float64
+	updatedAt time.Time
 }
 
-// note takes in an outcome.
-func (f *faults) note(now time.Time, failed bool) {
-	if now.Sub(f.last) > faultsLast {
-		f.share = 0
+// record adds an outcome.
+func (f *failureRate) record(now time.Time, failed bool) {
+	if now.Sub(f.updatedAt) > failureRateExpiry {
+		f.rate = 0
 	}
-	f.last = now
+	f.updatedAt = now
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	f.share += (sample - f.share) / faultGain
+	f.rate += (sample - f.rate) / failureRateSmoothing
 }
 
-// many reports whether the upstream fails now.
-func (f *faults) many(now time.Time) bool {
-	return f.share > mostFaults && now.Sub(f.last) <= faultsLast
+// isHigh reports whether the upstream counts as failing now.
+func (f *failureRate) isHigh(now time.Time) bool {
+	return f.rate > maxFailureRate && now.Sub(f.updatedAt) <= failureRateExpiry
 }
--- a/carrier/fault_test.go
+++ b/carrier/fault_test.go
@@ -13,70 +13,71 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// Symptom: all writes of a group fail for as long as its leader is ill. Sequence: the
-// leader answers whoever asks whether it is well, and fails what callers want.
-// Cause: only silence counts against an upstream.
-func TestAnUpstreamThatFailsItsWorkIsNoticed(t *testing.T) {
+// Guards against a group whose writes all fail for as long as its leader is faulty: the
+// leader answers every health check and fails the statements of callers. Silence alone must
+// not be what counts against an upstream.
+func TestFailureRateDetectsFailingUpstream(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	var f faults
-	is.True(!f.many(now))
+	var f failureRate
+	is.True(!f.isHigh(now))
 	for range 20 {
-		f.note(now, false)
+		f.record(now, false)
 	}
-	f.note(now, true)
-	f.note(now, true)
-	is.True(!f.many(now)) // two may be chance
-	f.note(now, true)
-	is.True(f.many(now))
-	is.True(!f.many(now.Add(2 * faultsLast))) // nothing is known any more
-	f.note(now.Add(2*faultsLast), true)
-	is.True(!f.many(now.Add(2 * faultsLast)))
+	f.record(now, true)
+	f.record(now, true)
+	is.True(!f.isHigh(now)) // two may be chance
+	f.record(now, true)
+	is.True(f.isHigh(now))
+	is.True(!f.isHigh(now.Add(2 * failureRateExpiry))) // the rate has expired
+	f.record(now.Add(2*failureRateExpiry), true)
+	is.True(!f.isHigh(now.Add(2 * failureRateExpiry)))
 }
 
-// An upstream that loses a tenth of its answers, here each tenth one, does its work.
-func TestSomeLostAnswersAreNoFailure(t *testing.T) {
+// An upstream that loses a tenth of its answers, here every tenth one, does not count as
+// failing.
+func TestFewLostAnswersDoNotCountAsFailing(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	var f faults
+	var f failureRate
 	for i := range 1000 {
-		f.note(now, i%10 == 0)
-		is.True(!f.many(now))
+		f.record(now, i%10 == 0)
+		is.True(!f.isHigh(now))
 	}
 }
 
-// Symptom: writes wait for half a second after another upstream leads. Sequence: the
-// leader dies and stays barred; another one is promoted, and the store lists that
-// later. Cause: nobody asks the others while a leader is known that doesn't answer.
-func TestALeaderIsSoughtWhileTheOldOneIsBarred(t *testing.T) {
+// Guards against writes that wait for half a second after another upstream leads. The
+// leader dies and stays ejected; another one is promoted, and the store lists that later.
+// The search for the leader must also run while the known leader does not answer.
+func TestLeaderSearchWhileOldLeaderIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
 		g.mu.Lock()
-		g.bar(g.leader, time.Now(), "silent")
+		g.eject(g.leader, time.Now(), "silent")
 		g.mu.Unlock()
 		is.Equal(g.Observe().LeaderAnswers, false)
 		c.Tick()
 		synctest.Wait()
 		is.Equal(g.Observe().Leader, "new")
 		is.Equal(g.Observe().LeaderAnswers, true)
-		time.Sleep(2 * firstPause) // the search ends
+		time.Sleep(2 * minProbeInterval) // the search ends
 		c.Stop()
 	})
 }
 
-// Symptom: a leader that has crashed is to be replaced as if it only failed for some,
-// again and again, and stays. Sequence: it crashes; the holder of the duty has sent it
-// nothing for a while and takes it for well, while its peers miss it. Cause: nobody
-// asks the leader at that process.
-func TestALeaderThatPeersMissIsAsked(t *testing.T) {
+// Guards against repeated attempts to replace a crashed leader as if it only failed for
+// some processes, so that it stays the leader. The lease holder has sent nothing to the
+// leader for a while and takes it for healthy, while its peers cannot reach it. The lease
+// holder must ask the leader itself.
+func TestVerifyLeaderEjectsCrashedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		crashed := false
 		c := &Registry{Now: time.Now, Log: zap.NewNop()}
 		c.Dial = func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error) {
@@ -89,14 +90,14 @@
 		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
 		g.VerifyLeader()
-		is.Equal(g.Observe().LeaderAnswers, true) // it is well
+		is.Equal(g.Observe().LeaderAnswers, true) // it is healthy
 		crashed = true
-		is.Equal(g.Observe().LeaderAnswers, true) // nobody has looked
+		is.Equal(g.Observe().LeaderAnswers, true) // nothing has checked it yet
 		g.mu.Lock()
 		leader := g.leader
 		g.mu.Unlock()
 		leader.pool.Shrink(0)
-		leader.pool.Shrink(0) // what nobody needed since the first one goes
+		leader.pool.Shrink(0) // closes what nobody has needed since the first call
 		g.VerifyLeader()
 		synctest.Wait()
 		is.Equal(g.Observe().LeaderAnswers, false)
--- a/carrier/gate.go
+++ b/carrier/gate.go
@@ -12,59 +12,61 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Bounds of what this process has at one upstream at a time. What is sent beyond an
-// upstream's slots waits there in the order of arrival, where nothing can be
-// refused any more and deadlines don't count.
+// Bounds of the work that this process has at one upstream at a time. What is sent beyond
+// an upstream's slots waits there in the order of arrival, where it can no longer be
+// refused and deadlines have no effect.
 const (
-	// leastWindow is how many statements this process may have at an upstream whose
-	// slots it doesn't know, whatever the others have there.
-	leastWindow = 2
-	// filling is how many statements all processes together have at an upstream at
-	// least, for each of its slots: half as many again keep the slots busy while
-	// answers and the next statements are on their way. With two for each of many
-	// processes most of them wait there; after a loss of power everywhere
-	// the processes learn nothing else, and take waiting there for work.
-	filling = 1.5
-	// mostWindow bounds the window's growth: twice an upstream's 5 or 6 slots and
-	// some, so that one process alone can keep it busy.
-	mostWindow = 16
-	// lostAfter is how many mean service times a statement may run before its answer
-	// counts as lost and another one is sent. Work that takes longer is rare, and
-	// with some answers lost the mean stays near what the others take, so that short
-	// statements can still be in time.
-	lostAfter = 8
-	// longestQueue is how many statements may wait here for one upstream: more than
-	// a few slots do in the time of most statements.
-	longestQueue = 256
+	// defaultMinWindow is how many statements this process may always have at an upstream
+	// whose number of slots is unknown.
+	defaultMinWindow = 2
+	// slotFillFactor is the minimum number of statements that all processes together have
+	// at an upstream, for each of its slots. Half as many again as it has slots keep the
+	// slots busy while answers and the next statements are in transit. With two statements
+	// for each of many processes most of them queue in the upstream: processes that start
+	// after a power failure of the whole fleet then see no shorter service time and take
+	// that queueing for work.
+	slotFillFactor = 1.5
+	// maxWindow bounds the growth of the window: twice an upstream's 5 or 6 slots and some
+	// more, so that one process alone can keep it busy.
+	maxWindow = 16
+	// lostAnswerFactor is how many mean service times a statement may run before its answer
+	// counts as lost and the next statement is sent. Work that takes longer is rare. Where
+	// some answers are lost the mean stays close to the service time of the others, so that
+	// short statements can still be in time.
+	lostAnswerFactor = 8
+	// maxQueueLength is how many statements may wait here for one upstream: more than a few
+	// slots complete within the time of most statements.
+	maxQueueLength = 256
 )
 
-// newGate returns the queue before one upstream.
+// newGate returns the admission queue of one upstream.
 func newGate() *limiter.Gate {
 	return &limiter.Gate{
 		Queue: limiter.Queue{
-			MaxLength: longestQueue, InitialServiceTime: ordinary,
-			Window:        limiter.Window{Min: leastWindow, Max: mostWindow},
-			LostThreshold: lostAfter,
+			MaxLength: maxQueueLength, InitialServiceTime: defaultLatency,
+			Window:        limiter.Window{Min: defaultMinWindow, Max: maxWindow},
+			LostThreshold: lostAnswerFactor,
 		},
 		Now: time.Now,
 	}
 }
 
-// part is how many statements a process may have at an upstream whatever the others
-// have there: as large a part of what fills its slots as it has of its connections.
-func part(slots, share, connections int) int {
+// windowShare returns how many statements a process may always have at an upstream: the
+// same proportion of the statements that fill its slots as the process has of its
+// connections.
+func windowShare(slots, share, connections int) int {
 	if slots == 0 || connections <= 0 {
-		return leastWindow
+		return defaultMinWindow
 	}
-	fill := filling * float64(slots) * float64(share) / float64(connections)
-	return min(max(1, int(math.Ceil(fill))), mostWindow)
+	fill := slotFillFactor * float64(slots) * float64(share) / float64(connections)
+	return min(max(1, int(math.Ceil(fill))), maxWindow)
 }
 
-// class says what an answer in time is worth, and of which work the time that it
-// takes is typical. Bookings take a third of the time of a session's work: as one
-// class with it they were refused as if they took as long, and since they have the
-// shorter objective, first.
-func (j *Job) class() limiter.Class {
+// admissionClass returns the class that sets the value of an answer in time and the typical
+// service time. Bookings take a third of the time of a session's work. In one class with it
+// they were refused as if they took as long, and were refused first because their objective
+// is shorter.
+func (j *Job) admissionClass() limiter.Class {
 	switch {
 	case j.Freshness == cataloger.ReadYourWrites:
 		return limiter.Session
@@ -75,65 +77,65 @@
 	}
 }
 
-// due is when the answer is worth having: the objective while it can be met, after
-// that the end of the statement's time. So under overload what can still be in
-// time goes first, and what is late already takes what is left.
-func (j *Job) due(now time.Time, service, left time.Duration) time.Time {
+// admissionDeadline returns the time by which the answer is of use: the objective while it
+// can be met, and the statement's deadline after that. Under overload statements that can
+// still meet their objective therefore go first, and late ones use what capacity is left.
+func (j *Job) admissionDeadline(now time.Time, service, left time.Duration) time.Time {
 	if left < service {
 		return j.Deadline
 	}
-	aim := now.Add(left)
-	if aim.After(j.Deadline) {
+	objective := now.Add(left)
+	if objective.After(j.Deadline) {
 		return j.Deadline
 	}
-	return aim
+	return objective
 }
 
-// enter waits until a statement may go to a member. A zero ticket means that it
-// can't be answered in time behind those that wait already, and the answer says
-// so at once, with when to come back.
-func (g *Group) enter(m *member, j *Job) (limiter.Ticket, Answer) {
+// admit waits until a statement may be sent to an upstream. A zero ticket means that the
+// statement cannot be answered in time behind those that already wait; the answer then
+// refuses it at once and states when to retry.
+func (g *Group) admit(u *upstream, j *Job) (limiter.Ticket, Answer) {
 	now := time.Now()
-	left := j.ObjectiveAt.Sub(g.carrier.Now())
+	left := j.ObjectiveAt.Sub(g.registry.Now())
 	if j.ObjectiveAt.IsZero() {
 		left = j.Deadline.Sub(now)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), j.Deadline)
 	defer cancel()
-	class := j.class()
-	ticket, outcome := m.gate.Acquire(ctx, limiter.Item{Class: class, Deadline: j.due(now, m.gate.MeanServiceTime(class), left)})
+	class := j.admissionClass()
+	ticket, outcome := u.gate.Acquire(ctx, limiter.Item{Class: class, Deadline: j.admissionDeadline(now, u.gate.MeanServiceTime(class), left)})
 	if ticket != 0 {
 		return ticket, Answer{}
 	}
-	g.turnedAway(m)
-	back := max(time.Until(outcome.Back), busyPause).Round(time.Millisecond)
-	g.log().Info("carrier: statement not admitted", zap.String("request", j.Request), zap.String("group", g.name), zap.String("upstream", m.id),
-		zap.Stringer("cause", outcome.Cause), zap.Duration("back", back), zap.Duration("left", left), zap.Bool("leads", j.RequiresLeader()))
-	return 0, refusal(Busy, "upstream is overloaded; come back in "+back.String())
+	g.recordRejection(u)
+	retryDelay := max(time.Until(outcome.Back), busyRetryDelay).Round(time.Millisecond)
+	g.log().Info("carrier: statement not admitted", zap.String("request", j.Request), zap.String("group", g.name), zap.String("upstream", u.id),
+		zap.Stringer("cause", outcome.Cause), zap.Duration("back", retryDelay), zap.Duration("left", left), zap.Bool("leads", j.RequiresLeader()))
+	return 0, refusal(Busy, "upstream is overloaded; come back in "+retryDelay.String())
 }
 
-// turnedAway notes that a member's gate refused a statement.
-func (g *Group) turnedAway(m *member) {
+// recordRejection records that an upstream's gate rejected a statement.
+func (g *Group) recordRejection(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.turned = g.carrier.Now()
+	u.rejectedAt = g.registry.Now()
 }
 
-// other reports whether a statement that a member didn't admit may try another
-// one, which probably has what it needs. One that leaves doesn't count: it is only
-// placed there when nothing else is left, so that the statement would be offered
-// to the same upstream again and again until its time is over.
-func (g *Group) other(m *member, j *Job, since tracker.Mark) bool {
+// hasAlternative reports whether a statement that an upstream's gate rejected may try
+// another upstream that probably has what it needs. One that is leaving does not count: it
+// is only chosen when nothing else is left, so the statement would be offered to the same
+// upstream again and again until its deadline.
+func (g *Group) hasAlternative(u *upstream, j *Job, since tracker.Mark) bool {
 	if j.RequiresLeader() {
 		return false
 	}
-	j.avoid(m)
+	j.markTried(u)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	upTo := g.samples.needed(since, now)
-	for _, o := range g.members {
-		if !o.barred && !o.entry.Leaving && !j.tried[o] && !o.lag.lacks(now, upTo) {
+	now := g.registry.Now()
+	upTo := g.samples.firstContaining(since, now)
+	for _, o := range g.upstreams {
+		if !o.ejected && !o.entry.Leaving && !j.tried[o] && !o.lag.lacks(now, upTo) {
 			return true
 		}
 	}
--- a/carrier/group.go
+++ b/carrier/group.go
@@ -15,402 +15,403 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Group is one database group as this proxy sees it. It is safe for concurrent
-// use.
+// Group is this proxy's view of one database group. It is safe for concurrent use.
 type Group struct {
-	name    string
-	carrier *Registry
-
-	mu      sync.Mutex
-	members []*member
-	// lost holds upstreams that the store lists no longer and whose logs aren't
-	// accounted for, by their ids.
-	lost map[string]*absent
-	// leader is the upstream that last proved, or said, that it leads; nil while
-	// none is known. proven is when the last proof was asked for.
-	leader *member
-	proven time.Time
-	// led is the id of the last leader.
-	led string
-	// leaderless is since when no leader that answers is known; zero while one is.
-	leaderless time.Time
-	// changed is closed, and made anew, when the leader or a member changes.
-	changed  chan struct{}
-	samples  samples
-	ages     ages
-	sampling chan struct{} // closed when the running sampling has ended; nil when none runs
-	sought   time.Time     // when members were last asked who leads
-	ticked   time.Time
-	shrunk   time.Time // when connections that nobody needed were last let go
-	// quiet says that there is nothing to look after: this process has no share of the
-	// connections and none open. A change of the members or the share ends that.
-	quiet bool
+	name     string
+	registry *Registry
+
+	mu        sync.Mutex
+	upstreams []*upstream
+	// absent holds, by id, upstreams that the store no longer lists and whose logs are not
+	// accounted for.
+	absent map[string]*absentUpstream
+	// leader is the upstream that last proved or claimed that it leads; nil while none is
+	// known. provenAt is when the last proof was requested.
+	leader   *upstream
+	provenAt time.Time
+	// lastLeader is the id of the last leader.
+	lastLeader string
+	// leaderlessSince is when the last leader that answered was lost; zero while one is
+	// known.
+	leaderlessSince time.Time
+	// changed is closed and replaced when the leader or an upstream changes.
+	changed    chan struct{}
+	samples    samples
+	ages       ages
+	sampling   chan struct{} // closed when the running sampling has ended; nil when none runs
+	searchedAt time.Time     // when upstreams were last asked who leads
+	tickedAt   time.Time
+	shrunkAt   time.Time // when unneeded connections were last closed
+	// idle is set while there is nothing to check: this process has no share of the
+	// connections and none open. A change of the upstreams or of the share clears it.
+	idle bool
 }
 
 // Name returns the group's name.
 func (g *Group) Name() string { return g.name }
 
-// apply takes in the members of the group.
+// apply replaces the upstreams of the group by the listed ones.
 func (g *Group) apply(list []cataloger.Upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	kept := make([]*member, 0, len(list))
-	for _, u := range list {
-		kept = append(kept, g.update(u))
+	kept := make([]*upstream, 0, len(list))
+	for _, listed := range list {
+		kept = append(kept, g.update(listed))
 	}
-	for _, m := range g.members {
+	for _, u := range g.upstreams {
 		switch {
-		case containsMember(kept, m):
-		case g.survives(m, list):
-			kept = append(kept, m)
+		case containsUpstream(kept, u):
+		case g.keepUnlisted(u, list):
+			kept = append(kept, u)
 		default:
-			g.drop(m)
+			g.drop(u)
 		}
 	}
-	g.members = kept
-	g.quiet = false
-	g.account()
-	g.signal()
+	g.upstreams = kept
+	g.idle = false
+	g.resolveAbsent()
+	g.notifyWaiters()
 }
 
-func containsMember(list []*member, m *member) bool {
+func containsUpstream(list []*upstream, u *upstream) bool {
 	for _, o := range list {
-		if o == m {
+		if o == u {
 			return true
 		}
 	}
 	return false
 }
 
-// update returns the member of an entry, made anew when it isn't known or has started
-// again: nothing that was learned of it before holds for what it is now, neither how
-// far its log is nor what its connections have prepared. What the store says of the
-// leader counts where it has changed.
-func (g *Group) update(u cataloger.Upstream) *member {
-	for _, m := range g.members {
-		if m.id != u.ID {
+// update returns the upstream of an entry. It creates a new one when the upstream is not
+// known or has restarted, because nothing learned before a restart still holds, neither the
+// position of its log nor what is prepared on its connections. What the store says about
+// the leader is applied only where it has changed.
+func (g *Group) update(listed cataloger.Upstream) *upstream {
+	for _, u := range g.upstreams {
+		if u.id != listed.ID {
 			continue
 		}
-		if u.Born.IsZero() || u.Born.Before(m.entry.Born) {
-			u.Born = m.entry.Born // says nothing of its start, or is of a former one
+		if listed.Born.IsZero() || listed.Born.Before(u.entry.Born) {
+			listed.Born = u.entry.Born // no start time, or that of an earlier start
 		}
-		if restarted(m.entry, u) {
-			g.log().Warn("carrier: upstream started again", zap.String("group", g.name), zap.String("upstream", u.ID),
-				zap.Time("born", u.Born), zap.Time("before", m.entry.Born), zap.Stringer("version", u.Version))
+		if isRestart(u.entry, listed) {
+			g.log().Warn("carrier: upstream restarted", zap.String("group", g.name), zap.String("upstream", listed.ID),
+				zap.Time("born", listed.Born), zap.Time("before", u.entry.Born), zap.Stringer("version", listed.Version))
 			break
 		}
-		before := m.entry
-		// One that wasn't listed counts as leaving without having said so.
-		news := u.Leaving != before.Leaving || u.Leaving && !m.unlisted.IsZero()
-		m.entry, m.unlisted = u, time.Time{}
-		if news {
-			g.noteLeaving(m, g.carrier.LeaveTimeout)
-			g.log().Info("carrier: upstream leaving", zap.String("group", g.name), zap.String("upstream", u.ID), zap.Bool("leaving", u.Leaving))
+		before := u.entry
+		// An upstream that was not listed counts as leaving without having announced it.
+		leavingChanged := listed.Leaving != before.Leaving || listed.Leaving && !u.unlistedSince.IsZero()
+		u.entry, u.unlistedSince = listed, time.Time{}
+		if leavingChanged {
+			g.setDrainTime(u, g.registry.LeaveTimeout)
+			g.log().Info("carrier: leaving state of upstream changed", zap.String("group", g.name), zap.String("upstream", listed.ID), zap.Bool("leaving", listed.Leaving))
 		}
-		if u.Leads && !before.Leads {
-			g.claims(m)
+		if listed.Leads && !before.Leads {
+			g.handleLeaderClaim(u)
 		}
-		if !u.Leads && before.Leads && g.leader == m {
-			g.lead(nil, "listed as replica")
+		if !listed.Leads && before.Leads && g.leader == u {
+			g.setLeader(nil, "listed as replica")
 		}
-		return m
+		return u
 	}
-	m := &member{id: u.ID, slots: u.Slots, entry: u, gate: newGate(), running: map[*run]struct{}{}}
-	m.gate.SetWindowMin(g.carrier.window(g.name, m.slots))
-	m.opener = &opener{now: g.carrier.Now, after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
-	m.pool = &pooler.Pool[*conn]{
-		Limit:         g.carrier.share(g.name),
-		Dial:          func(ctx context.Context, workspace string) (*conn, error) { return g.dial(ctx, m, workspace) },
-		Close:         func(c *conn) { _ = c.Close() }, // a connection that is dropped has nothing left to say
+	u := &upstream{id: listed.ID, slots: listed.Slots, entry: listed, gate: newGate(), running: map[*run]struct{}{}}
+	u.gate.SetWindowMin(g.registry.minWindow(g.name, u.slots))
+	u.opener = &opener{now: g.registry.Now, after: func(d time.Duration, f func()) { time.AfterFunc(d, f) }}
+	u.pool = &pooler.Pool[*conn]{
+		Limit:         g.registry.share(g.name),
+		Dial:          func(ctx context.Context, workspace string) (*conn, error) { return g.dial(ctx, u, workspace) },
+		Close:         func(c *conn) { _ = c.Close() }, // the connection is discarded whether or not closing it fails
 		Owner:         func(c *conn) string { return c.workspace },
-		RequestPermit: m.opener.want,
-		ZeroLimitErr:  errUnshared,
+		RequestPermit: u.opener.request,
+		ZeroLimitErr:  errNoShare,
 	}
-	m.opener.permit = m.pool.Permit
-	g.noteLeaving(m, g.carrier.LeaveTimeout/2)
-	g.log().Info("carrier: upstream joined", zap.String("group", g.name), zap.String("upstream", u.ID),
-		zap.Stringer("address", u.Address), zap.String("zone", u.Zone), zap.Bool("leads", u.Leads), zap.Stringer("version", u.Version))
-	if u.Leads {
-		g.claims(m)
+	u.opener.permit = u.pool.Permit
+	g.setDrainTime(u, g.registry.LeaveTimeout/2)
+	g.log().Info("carrier: upstream joined", zap.String("group", g.name), zap.String("upstream", listed.ID),
+		zap.Stringer("address", listed.Address), zap.String("zone", listed.Zone), zap.Bool("leads", listed.Leads), zap.Stringer("version", listed.Version))
+	if listed.Leads {
+		g.handleLeaderClaim(u)
 	}
-	return m
+	return u
 }
 
-// claims takes in that a member says of itself that it leads. Where another one
-// has proved that it does, this one has to prove it too: an upstream that was cut
-// off when it was replaced says so until it hears of its successor. The caller
-// has the lock.
-func (g *Group) claims(m *member) {
-	if g.present() == nil {
-		g.lead(m, "listed")
+// handleLeaderClaim handles an upstream's own claim that it leads. Where another upstream
+// has proved that it leads, this one must prove it too: an upstream that was partitioned
+// when it was replaced claims to lead until it learns of its successor. The caller must
+// hold g.mu.
+func (g *Group) handleLeaderClaim(u *upstream) {
+	if g.reachableLeaderLocked() == nil {
+		g.setLeader(u, "listed")
 		return
 	}
-	go g.ask(m)
+	go g.checkLeader(u)
 }
 
-func (g *Group) drop(m *member) {
-	m.gone = true
-	go m.pool.Stop()
-	if g.leader == m {
-		g.lead(nil, "gone")
+func (g *Group) drop(u *upstream) {
+	u.removed = true
+	go u.pool.Stop()
+	if g.leader == u {
+		g.setLeader(nil, "gone")
 	}
-	g.miss(m)
-	g.log().Info("carrier: upstream gone", zap.String("group", g.name), zap.String("upstream", m.id), zap.Stringer("version", m.entry.Version))
+	g.recordAbsent(u)
+	g.log().Info("carrier: upstream removed", zap.String("group", g.name), zap.String("upstream", u.id), zap.Stringer("version", u.entry.Version))
 }
 
-// lead takes in who leads. The caller has the lock.
-func (g *Group) lead(m *member, evidence string) {
-	if g.leader == m {
+// setLeader records which upstream leads. The caller must hold g.mu.
+func (g *Group) setLeader(u *upstream, evidence string) {
+	if g.leader == u {
 		return
 	}
 	id := ""
-	if m != nil {
-		id = m.id
+	if u != nil {
+		id = u.id
 	}
 	g.log().Info("carrier: leader changed", zap.String("group", g.name), zap.String("upstream", id),
-		zap.String("before", g.led), zap.String("evidence", evidence))
-	g.leader = m
-	if m == nil && g.leaderless.IsZero() {
-		g.leaderless = g.carrier.Now()
+		zap.String("before", g.lastLeader), zap.String("evidence", evidence))
+	g.leader = u
+	if u == nil && g.leaderlessSince.IsZero() {
+		g.leaderlessSince = g.registry.Now()
 	}
-	if m != nil {
-		g.leaderless = time.Time{}
-		g.led = m.id
+	if u != nil {
+		g.leaderlessSince = time.Time{}
+		g.lastLeader = u.id
 	}
-	g.signal()
+	g.notifyWaiters()
 }
 
-// signal wakes all who wait for a change. The caller has the lock.
-func (g *Group) signal() {
+// notifyWaiters wakes all that wait for a change. The caller must hold g.mu.
+func (g *Group) notifyWaiters() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-func (g *Group) log() *zap.Logger { return g.carrier.Log }
+func (g *Group) log() *zap.Logger { return g.registry.Log }
 
-func (g *Group) divide() {
-	share := g.carrier.share(g.name)
+func (g *Group) applyShare() {
+	share := g.registry.share(g.name)
 	g.mu.Lock()
-	members := append([]*member(nil), g.members...)
-	g.quiet = false
+	upstreams := append([]*upstream(nil), g.upstreams...)
+	g.idle = false
 	g.mu.Unlock()
-	for _, m := range members {
-		m.gate.SetWindowMin(g.carrier.window(g.name, m.slots))
-		m.pool.SetLimit(share)
+	for _, u := range upstreams {
+		u.gate.SetWindowMin(g.registry.minWindow(g.name, u.slots))
+		u.pool.SetLimit(share)
 	}
 }
 
-// dial opens a connection for a member's pool.
-func (g *Group) dial(ctx context.Context, m *member, workspace string) (*conn, error) {
+// dial opens a connection for an upstream's pool.
+func (g *Group) dial(ctx context.Context, u *upstream, workspace string) (*conn, error) {
 	g.mu.Lock()
-	entry := m.entry
+	entry := u.entry
 	g.mu.Unlock()
-	began := g.carrier.Now()
-	l, err := g.carrier.Dial(ctx, entry, workspace)
-	full := errors.Is(err, ErrConnectionLimit)
-	m.opener.opened(full)
+	began := g.registry.Now()
+	l, err := g.registry.Dial(ctx, entry, workspace)
+	limitReached := errors.Is(err, ErrConnectionLimit)
+	u.opener.recordEnd(limitReached)
 	if err == nil {
-		m.opener.took(g.carrier.Now().Sub(began))
+		u.opener.recordTime(g.registry.Now().Sub(began))
 	}
-	if full {
-		g.crowded(m)
+	if limitReached {
+		g.handleConnectionLimit(u)
 	}
 	if err != nil {
 		return nil, errors.Wrapf(err, "carrier: open a connection to %s", entry.ID)
 	}
-	g.heard(m, l.InitialMark())
+	g.recordAnswer(u, l.InitialMark())
 	return &conn{Link: l, workspace: workspace}, nil
 }
 
-// heard takes in that a member has answered, and how far its log is.
-func (g *Group) heard(m *member, mark tracker.Mark) {
+// recordAnswer records that an upstream has answered, and the position of its log.
+func (g *Group) recordAnswer(u *upstream, mark tracker.Mark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.answered = g.carrier.Now()
-	if m.mark.Less(mark) {
-		m.mark = mark
+	u.answeredAt = g.registry.Now()
+	if u.mark.Less(mark) {
+		u.mark = mark
 	}
-	if m.barred {
-		g.log().Info("carrier: upstream answers again", zap.String("group", g.name), zap.String("upstream", m.id),
-			zap.Duration("barred", m.answered.Sub(m.since)))
-		m.barred = false
-		m.pause = 0
-		if m == g.leader {
-			g.leaderless = time.Time{}
+	if u.ejected {
+		g.log().Info("carrier: upstream answers again; no longer ejected", zap.String("group", g.name), zap.String("upstream", u.id),
+			zap.Duration("barred", u.answeredAt.Sub(u.ejectedAt)))
+		u.ejected = false
+		u.probeInterval = 0
+		if u == g.leader {
+			g.leaderlessSince = time.Time{}
 		}
-		g.signal()
+		g.notifyWaiters()
 	}
 }
 
-// proved takes in that a member led the group when it was asked, and how far its
-// log was. Of two proofs the one that was asked for later counts: there is never
-// more than one leader at a time.
-func (g *Group) proved(m *member, asked time.Time, mark tracker.Mark) {
+// recordLeader records that an upstream led the group when it was asked, and the position
+// of its log. Of two proofs the one that was requested later counts: there is never more
+// than one leader at a time.
+func (g *Group) recordLeader(u *upstream, requestedAt time.Time, mark tracker.Mark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if asked.Before(g.proven) {
+	if requestedAt.Before(g.provenAt) {
 		return
 	}
-	g.proven = asked
-	if !m.gone {
-		g.lead(m, "proved")
+	g.provenAt = requestedAt
+	if !u.removed {
+		g.setLeader(u, "proved")
 	}
-	g.samples.add(asked, mark)
-	g.settle(asked, mark)
+	g.samples.add(requestedAt, mark)
+	g.resolveRestarts(requestedAt, mark)
 }
 
-// follows takes in that a member refused as a replica does.
-func (g *Group) follows(m *member) {
+// recordReplica records that an upstream refused a command because it is a replica.
+func (g *Group) recordReplica(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leader == m {
-		g.lead(nil, "refused as a replica")
+	if g.leader == u {
+		g.setLeader(nil, "refused as a replica")
 	}
 }
 
-// deposed takes in the same, and looks for the leader.
-func (g *Group) deposed(m *member) {
-	g.follows(m)
+// handleReadOnly does the same as recordReplica, and searches for the leader.
+func (g *Group) handleReadOnly(u *upstream) {
+	g.recordReplica(u)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.seek()
+	g.searchLeader()
 }
 
-// choose picks a member for a job, or says why there is none. The leader that
-// is missing is sought meanwhile.
-func (g *Group) choose(need placer.Need, workspace string, tried map[*member]bool) (*member, placer.Reason, <-chan struct{}) {
+// choose picks an upstream for a job, or returns the reason why there is none. If no leader
+// is known it starts a search for it.
+func (g *Group) choose(need placer.Need, workspace string, tried map[*upstream]bool) (*upstream, placer.Reason, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	candidates := make([]placer.Candidate, len(g.members))
-	share := g.carrier.share(g.name)
-	upTo := g.samples.needed(need.MinMark, now)
-	home := g.home(workspace)
-	for i, m := range g.members {
-		candidates[i] = m.candidate(now, upTo, m == g.leader, m.entry.Zone == g.carrier.Zone, tried[m], share)
-		candidates[i].ConnectDelay = m.opening(workspace, m == g.leader, m == home)
+	now := g.registry.Now()
+	candidates := make([]placer.Candidate, len(g.upstreams))
+	share := g.registry.share(g.name)
+	upTo := g.samples.firstContaining(need.MinMark, now)
+	home := g.homeReplica(workspace)
+	for i, u := range g.upstreams {
+		candidates[i] = u.candidate(now, upTo, u == g.leader, u.entry.Zone == g.registry.Zone, tried[u], share)
+		candidates[i].ConnectDelay = u.connectDelay(workspace, u == g.leader, u == home)
 	}
 	i, reason := placer.Choose(candidates, need)
-	if g.carrier.CountPlacement != nil {
-		g.carrier.CountPlacement(string(reason))
+	if g.registry.CountPlacement != nil {
+		g.registry.CountPlacement(string(reason))
 	}
 	if i == placer.None {
 		if reason == placer.NoLeader {
-			g.seek()
+			g.searchLeader()
 		}
 		return nil, reason, g.changed
 	}
-	m := g.members[i]
+	u := g.upstreams[i]
 	if !need.LeaderOnly {
-		m.lag.trying(now)
+		u.lag.recordRetry(now)
 	}
-	return m, reason, nil
+	return u, reason, nil
 }
 
-// home returns the replica where a workspace's reads should have their connections, nil
-// where any will do. Each workspace with connections to one replica rather than to all
-// halves what has to be opened. The caller has the lock.
-func (g *Group) home(workspace string) *member {
+// homeReplica returns the replica that a workspace's reads should use, nil where any will
+// do. Connections of each workspace to one replica rather than to all of them halve the
+// number of connections to open. The caller must hold g.mu.
+func (g *Group) homeReplica(workspace string) *upstream {
 	if workspace == "" {
 		return nil
 	}
-	var home *member
-	var most uint64
-	for _, m := range g.members {
-		if m == g.leader || m.barred || m.entry.Leaving {
+	var home *upstream
+	var maxWeight uint64
+	for _, u := range g.upstreams {
+		if u == g.leader || u.ejected || u.entry.Leaving {
 			continue
 		}
-		if weight := xxhash.Sum64String(workspace + " " + m.id); home == nil || weight > most {
-			home, most = m, weight
+		if weight := xxhash.Sum64String(workspace + " " + u.id); home == nil || weight > maxWeight {
+			home, maxWeight = u, weight
 		}
 	}
 	return home
 }
 
-// present returns the leader if it answers, or nil. The caller has the lock.
-func (g *Group) present() *member {
-	if g.leader == nil || g.leader.barred {
+// reachableLeaderLocked returns the leader if it answers, or nil. The caller must hold
+// g.mu.
+func (g *Group) reachableLeaderLocked() *upstream {
+	if g.leader == nil || g.leader.ejected {
 		return nil
 	}
 	return g.leader
 }
 
-// leads is the same without the lock.
-func (g *Group) leads() *member {
+// reachableLeader returns the leader if it answers, or nil.
+func (g *Group) reachableLeader() *upstream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.present()
+	return g.reachableLeaderLocked()
 }
 
-// begin notes that a job runs at a member.
-func (g *Group) begin(m *member, r *run) {
+// addRun records that a job is running on an upstream.
+func (g *Group) addRun(u *upstream, r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.running[r] = struct{}{}
+	u.running[r] = struct{}{}
 }
 
-func (g *Group) end(m *member, r *run) {
+func (g *Group) removeRun(u *upstream, r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(m.running, r)
+	delete(u.running, r)
 }
 
-// release gives a connection back, or closes it when it can't be used again.
-func (g *Group) release(m *member, c *conn, usable bool) {
+// release returns a connection to the pool, or closes it when it cannot be used again.
+func (g *Group) release(u *upstream, c *conn, usable bool) {
 	if !usable {
-		m.pool.Discard(c)
+		u.pool.Discard(c)
 		return
 	}
-	m.pool.Put(c)
+	u.pool.Put(c)
 }
 
-// acknowledged takes in that a member answered a write or the commit of one.
-func (g *Group) acknowledged(m *member) {
+// recordWrite records that an upstream acknowledged a write or the commit of one.
+func (g *Group) recordWrite(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.wrote = g.carrier.Now()
+	u.wroteAt = g.registry.Now()
 }
 
-// late takes in that a member's log lacked what a read needed.
-func (g *Group) late(m *member) {
+// recordLag records that an upstream's log lacked what a read needed.
+func (g *Group) recordLag(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	had := g.samples.complete(m.mark)
-	if had.IsZero() && len(g.samples.ring) > 0 {
-		had = g.samples.ring[0].asked // it is further behind than is known
+	completeAt := g.samples.completeTo(u.mark)
+	if completeAt.IsZero() && len(g.samples.ring) > 0 {
+		completeAt = g.samples.ring[0].requestedAt // it lags by more than the samples cover
 	}
-	now := g.carrier.Now()
-	m.lag.refused(now, had)
-	g.log().Info("carrier: replica lags", zap.String("group", g.name), zap.String("upstream", m.id),
-		zap.Duration("by", now.Sub(had)), zap.Stringer("at", m.mark))
+	now := g.registry.Now()
+	u.lag.recordRefused(now, completeAt)
+	g.log().Info("carrier: replica lags", zap.String("group", g.name), zap.String("upstream", u.id),
+		zap.Duration("by", now.Sub(completeAt)), zap.Stringer("at", u.mark))
 }
 
-// sufficed takes in that a member's log had what a read needed.
-func (g *Group) sufficed(m *member, since tracker.Mark) {
+// recordReadServed records that an upstream's log had what a read needed.
+func (g *Group) recordReadServed(u *upstream, since tracker.Mark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	m.lag.served(now, g.samples.needed(since, now), g.ages.little())
+	now := g.registry.Now()
+	u.lag.recordServed(now, g.samples.firstContaining(since, now), g.ages.negligibleLag())
 }
 
-// judge takes in how a statement that a member answered has ended. Only what it
-// ran tells whether it does its work.
-func (g *Group) judge(m *member, code Code) {
+// recordOutcome records the outcome of a statement that an upstream answered. Only
+// statements that it ran show whether it works.
+func (g *Group) recordOutcome(u *upstream, code Code) {
 	if code == OK || code == Failed {
-		g.ended(m, code == Failed)
+		g.recordFailure(u, code == Failed)
 	}
 }
 
-// ended takes in whether a member failed what a statement asked of it.
-func (g *Group) ended(m *member, failed bool) {
+// recordFailure records whether an upstream failed a statement.
+func (g *Group) recordFailure(u *upstream, failed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.faults.note(g.carrier.Now(), failed)
+	u.failures.record(g.registry.Now(), failed)
 }
 
-// took takes in the time of an answer.
-func (g *Group) took(m *member, d time.Duration) {
+// recordAnswerTime records the latency of an answer.
+func (g *Group) recordAnswerTime(u *upstream, d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.observe(g.carrier.Now(), d)
+	u.recordLatency(g.registry.Now(), d)
 }
--- a/carrier/job.go
+++ b/carrier/job.go
@@ -11,132 +11,134 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Bounds of carrying one statement.
+// Bounds of running one statement.
 const (
-	// attempts bounds how often a read is sent: to each upstream of a group of
-	// three, and once more to the best.
-	attempts = 4
-	// busyPause is how long a statement waits before it goes again to the one
-	// upstream that may run it and has just refused it as busy: about the time in
-	// which one of five slots comes free.
-	busyPause = 8 * time.Millisecond
-	// failing is what a failed or lost answer counts as, in ordinary latencies. With
-	// the smoothing of the mean, an upstream that fails four of ten then costs three
-	// times as much as the others.
-	failing = 6
-	// crowdedPause is how long a statement waits before it asks again for a
-	// connection of the one upstream that may run it and has no room.
-	crowdedPause = 120 * time.Millisecond
-	// margin is left of a sample's greatest age for the clock's own error.
-	margin = 20 * time.Millisecond
-	// ageing is the part of a route's greatest age after which a new sample is
-	// asked for while the old one still serves.
-	ageing = 3
-	// comeBack is told to callers who are refused for that.
-	comeBack = time.Second
+	// maxAttempts bounds how often a read is sent: once to each upstream of a group of
+	// three, and once more to the best one.
+	maxAttempts = 4
+	// busyRetryDelay is how long a statement waits before it is sent again to the only
+	// upstream that may run it, after that has refused it as busy: about the time in which
+	// one of five slots becomes free.
+	busyRetryDelay = 8 * time.Millisecond
+	// failurePenalty is the latency that counts for a failed or lost answer, as a multiple
+	// of the default latency. Given the smoothing of the mean, an upstream that fails four
+	// statements of ten then costs three times as much as the others.
+	failurePenalty = 6
+	// connLimitRetryDelay is how long a statement waits before it tries again to get a
+	// connection to the only upstream that may run it, after that was at its connection
+	// limit.
+	connLimitRetryDelay = 120 * time.Millisecond
+	// clockErrorMargin is subtracted from the maximum age of a sample for the error of the
+	// clock.
+	clockErrorMargin = 20 * time.Millisecond
+	// resampleDivisor sets when a new sample is requested while the old one still serves:
+	// after the route's maximum age divided by it.
+	resampleDivisor = 3
+	// retryAfter is the delay that a refusal tells callers to wait before they retry.
+	retryAfter = time.Second
 )
 
 // Job is what the statements of one operation have in common.
 type Job struct {
-	// Request is the caller's id of the statement, for the log.
+	// Request is the id of the caller's request, for the log.
 	Request string
-	// Workspace is whose statement it is; "" where anyone may ask.
+	// Workspace is the workspace of the statement; empty if it belongs to none.
 	Workspace string
 	Freshness cataloger.Freshness
 	MaxAge    time.Duration
-	// LastWrite is the furthest of the session's own writes.
+	// LastWrite is the furthest position of the session's own writes.
 	LastWrite tracker.Mark
-	// Writes says that the job may change data, so that only the leader will do.
+	// Writes is true if the job may change data, so that only the leader may run it.
 	Writes bool
-	// Arrived is when the operation's first byte was here, by the carrier's
-	// clock; ages count from it.
+	// Arrived is when the first byte of the operation arrived, by the Registry's clock;
+	// ages count from it.
 	Arrived time.Time
-	// ObjectiveAt is when the operation should have been answered, by the carrier's clock;
-	// zero where nothing is aimed at.
+	// ObjectiveAt is when the operation should have been answered, by the Registry's clock;
+	// zero where there is no objective.
 	ObjectiveAt time.Time
-	// Deadline is when the statement's time is over.
+	// Deadline is when the time of the statement is up.
 	Deadline time.Time
-	// Values are those of the session.
+	// Values are the session's values.
 	Values []Value
-	// Prepared is what the statement executes, if it does.
+	// Prepared is the prepared statement to execute, if any.
 	Prepared *Prepared
-	// CanForward, when set, says that another process could carry the job now, so
-	// that waiting here for a leader or a sample is no use.
+	// CanForward, when set, reports whether another process could run the job now, so that
+	// waiting here for a leader or a sample is of no use.
 	CanForward func() bool
-	// CallerGone is closed when the caller has left; it may be nil.
+	// CallerGone is closed when the caller has disconnected; it may be nil.
 	CallerGone <-chan struct{}
 
-	tried map[*member]bool
+	tried map[*upstream]bool
 }
 
-// RequiresLeader reports whether the job must run on the present leader.
+// RequiresLeader reports whether only the current leader may run the job.
 func (j *Job) RequiresLeader() bool { return j.Writes || j.Freshness == cataloger.Latest }
 
-// avoid remembers that the job failed at a member.
-func (j *Job) avoid(m *member) {
+// markTried records that the job failed on an upstream.
+func (j *Job) markTried(u *upstream) {
 	if j.tried == nil {
-		j.tried = map[*member]bool{}
+		j.tried = map[*upstream]bool{}
 	}
-	j.tried[m] = true
+	j.tried[u] = true
 }
 
-// refusal is the answer to a job that nothing of was run.
+// refusal returns the answer to a job of which nothing was run.
 func refusal(code Code, text string) Answer { return Answer{Code: code, Text: text} }
 
-// exchange runs commands on a connection and keeps what the answer tells of the
-// member.
-func (g *Group) exchange(m *member, r *run, deadline time.Time, commands ...Command) ([]Answer, bool, error) {
+// exchange runs commands on a connection and records what the answers show about the
+// upstream.
+func (g *Group) exchange(u *upstream, r *run, deadline time.Time, commands ...Command) ([]Answer, bool, error) {
 	g.mu.Lock()
-	r.started = g.carrier.Now()
+	r.exchangeStartedAt = g.registry.Now()
 	g.mu.Unlock()
 	answers, sent, err := r.conn.Exchange(deadline, commands...)
 	g.mu.Lock()
-	took := g.carrier.Now().Sub(r.started)
-	if err != nil && r.harmful && took > stuckAfter && m.wrote.Before(r.started) {
-		m.starved = g.carrier.Now()
+	took := g.registry.Now().Sub(r.exchangeStartedAt)
+	if err != nil && r.inDoubtIfLost && took > commitStallThreshold && u.wroteAt.Before(r.exchangeStartedAt) {
+		u.writeTimedOutAt = g.registry.Now()
 	}
-	r.started = time.Time{}
+	r.exchangeStartedAt = time.Time{}
 	g.mu.Unlock()
 	if err != nil {
-		g.log().Info("carrier: link lost", zap.String("group", g.name), zap.String("upstream", m.id), zap.String("request", commands[len(commands)-1].ID),
+		g.log().Info("carrier: connection to upstream lost", zap.String("group", g.name), zap.String("upstream", u.id), zap.String("request", commands[len(commands)-1].ID),
 			zap.Duration("took", took), zap.Bool("sent", sent), zap.Error(err))
 		return nil, sent, err
 	}
-	g.heard(m, answers[len(answers)-1].Mark)
+	g.recordAnswer(u, answers[len(answers)-1].Mark)
 	return answers, sent, nil
 }
 
-// open gets a connection to a member for a job.
-func (g *Group) open(m *member, j *Job) (*run, Answer) {
-	c, err := m.connectionFor(j.Workspace, j.Deadline)
-	if err == nil && g.isClosed(m) {
-		g.release(m, c, true)
+// acquireConn gets a connection to an upstream for a job.
+func (g *Group) acquireConn(u *upstream, j *Job) (*run, Answer) {
+	c, err := u.getConnFor(j.Workspace, j.Deadline)
+	if err == nil && g.hasDrainEnded(u) {
+		g.release(u, c, true)
 		return nil, refusal(Busy, string(placer.LeaderDrained))
 	}
 	if err != nil {
-		g.refused(m, err)
+		g.handleOpenError(u, err)
 		switch {
-		case errors.Is(err, errUnshared):
+		case errors.Is(err, errNoShare):
 			return nil, refusal(Unavailable, err.Error())
 		case errors.Is(err, ErrConnectionLimit):
 			return nil, refusal(Overloaded, "upstream has too many connections")
 		}
-		j.avoid(m)
+		j.markTried(u)
 		return nil, refusal(Busy, "no connection to the upstream: "+err.Error())
 	}
 	return &run{conn: c}, Answer{}
 }
 
-// Run carries one statement outside of a transaction.
+// Run runs one statement outside of a transaction.
 func (g *Group) Run(j *Job, cmd Command) Answer {
 	answer := refusal(Busy, "out of time")
-	for n := 0; n < attempts && time.Until(j.Deadline) > 0; n++ {
-		m, since, refused := g.place(j)
-		if m == nil {
+	for n := 0; n < maxAttempts && time.Until(j.Deadline) > 0; n++ {
+		u, since, refused := g.place(j)
+		if u == nil {
 			return refused
 		}
 		var again bool
-		answer, again = g.attempt(m, j, cmd, since)
+		answer, again = g.attempt(u, j, cmd, since)
 		if !again {
 			return answer
 		}
@@ -144,79 +146,79 @@
 			return refusal(Unavailable, answer.Text) // a peer may have connections there
 		}
 		if answer.Code == Overloaded || answer.Code == Busy {
-			n-- // nothing was run; the deadline bounds these
+			n-- // nothing was run; the deadline bounds these retries
 		}
-		g.log().Info("carrier: statement goes again", zap.String("request", j.Request), zap.String("group", g.name),
-			zap.String("upstream", m.id), zap.Stringer("code", answer.Code), zap.String("cause", answer.Text), zap.Int("attempt", n+1))
+		g.log().Info("carrier: retrying statement", zap.String("request", j.Request), zap.String("group", g.name),
+			zap.String("upstream", u.id), zap.Stringer("code", answer.Code), zap.String("cause", answer.Text), zap.Int("attempt", n+1))
 	}
 	return answer
 }
 
-// attempt sends a statement to a member once. It reports whether the statement
-// may and should go again.
-func (g *Group) attempt(m *member, j *Job, cmd Command, since tracker.Mark) (Answer, bool) {
-	ticket, refused := g.enter(m, j)
+// attempt sends a statement to an upstream once. It reports whether the statement may and
+// should be sent again.
+func (g *Group) attempt(u *upstream, j *Job, cmd Command, since tracker.Mark) (Answer, bool) {
+	ticket, refused := g.admit(u, j)
 	if ticket == 0 {
-		return refused, g.other(m, j, since)
+		return refused, g.hasAlternative(u, j, since)
 	}
-	answer, again := g.admitted(m, j, cmd, since)
-	m.gate.Release(ticket, answer.Code == OK)
+	answer, again := g.runAdmitted(u, j, cmd, since)
+	u.gate.Release(ticket, answer.Code == OK)
 	if !again {
 		return answer, false
 	}
-	return answer, g.again(m, j, answer)
+	return answer, g.shouldRetry(u, j, answer)
 }
 
-// admitted carries out an attempt that the member's gate let through. It reports
-// whether the refusal is one after which the statement may go again.
-func (g *Group) admitted(m *member, j *Job, cmd Command, since tracker.Mark) (Answer, bool) {
-	if g.isBarred(m) {
+// runAdmitted runs an attempt that the upstream's gate admitted. It reports whether the
+// answer is a refusal after which the statement may be sent again.
+func (g *Group) runAdmitted(u *upstream, j *Job, cmd Command, since tracker.Mark) (Answer, bool) {
+	if g.isEjected(u) {
 		return refusal(Busy, "upstream barred while the statement waited for it"), true
 	}
-	r, refused := g.open(m, j)
+	r, refused := g.acquireConn(u, j)
 	if r == nil {
 		return refused, true
 	}
 	if j.Writes && !r.conn.Alive() {
-		g.release(m, r.conn, false)
+		g.release(u, r.conn, false)
 		return refusal(Busy, "connection was dead before the write"), true
 	}
-	r.harmful = j.Writes
-	g.begin(m, r)
-	defer g.end(m, r)
-	started := g.carrier.Now()
-	answer, sent, err := g.send(m, r, j, cmd, since)
+	r.inDoubtIfLost = j.Writes
+	g.addRun(u, r)
+	defer g.removeRun(u, r)
+	started := g.registry.Now()
+	answer, sent, err := g.send(u, r, j, cmd, since)
 	if err != nil {
-		g.release(m, r.conn, false)
-		j.avoid(m)
+		g.release(u, r.conn, false)
+		j.markTried(u)
 		if sent && time.Until(j.Deadline) > 0 {
-			g.ended(m, true) // lost, and not only late: an overloaded upstream doesn't fail
+			g.recordFailure(u, true) // lost before the deadline: an overloaded upstream, which is only late, does not count as failing
 		}
-		answer, again := lost(j, sent)
+		answer, again := lostAnswer(j, sent)
 		if !again {
-			g.took(m, failing*ordinary)
+			g.recordAnswerTime(u, failurePenalty*defaultLatency)
 		}
 		return answer, again
 	}
 	usable := answer.State == Idle && answer.Code != NoStatement
-	g.release(m, r.conn, usable)
+	g.release(u, r.conn, usable)
 	answer.State = Idle
-	answer.Upstream, answer.Led = m.id, g.leads() == m
-	g.judge(m, answer.Code)
+	answer.Upstream, answer.Led = u.id, g.reachableLeader() == u
+	g.recordOutcome(u, answer.Code)
 	if answer.Code == OK {
-		answer.Ran = g.carrier.Now().Sub(started)
+		answer.Ran = g.registry.Now().Sub(started)
 		answer.Waited = started.Sub(j.Arrived)
-		g.took(m, answer.Ran)
+		g.recordAnswerTime(u, answer.Ran)
 		if !j.RequiresLeader() {
-			g.sufficed(m, since)
+			g.recordReadServed(u, since)
 		}
 		return answer, false
 	}
 	return answer, true
 }
 
-// lost is the answer to a statement whose connection broke.
-func lost(j *Job, sent bool) (Answer, bool) {
+// lostAnswer returns the answer to a statement whose connection broke.
+func lostAnswer(j *Job, sent bool) (Answer, bool) {
 	switch {
 	case !sent:
 		return refusal(Busy, "connection lost before the statement was sent"), true
@@ -229,48 +231,48 @@
 	}
 }
 
-// send carries out the exchanges of one attempt. A read that must see everything
-// is wrapped in a transaction of the leader's: a former leader refuses its begin.
-// The read goes out only after the begin was accepted, since behind a refused one
-// it would run by itself, on a log that may lack the newest commits.
-func (g *Group) send(m *member, r *run, j *Job, cmd Command, since tracker.Mark) (Answer, bool, error) {
-	prelude := r.conn.prelude(j.Values, j.Prepared)
+// send runs the exchanges of one attempt. A read that must see every commit is wrapped in a
+// transaction that only the leader accepts: a former leader refuses its begin. The read is
+// sent only after the begin was accepted. Sent together with a refused begin, it would run
+// outside of a transaction, on a log that may lack the newest commits.
+func (g *Group) send(u *upstream, r *run, j *Job, cmd Command, since tracker.Mark) (Answer, bool, error) {
+	setup := r.conn.setupCommands(j.Values, j.Prepared)
 	if j.Writes {
-		asked := g.carrier.Now()
-		answers, sent, err := g.exchange(m, r, j.Deadline, append(prelude, cmd)...)
+		requestedAt := g.registry.Now()
+		answers, sent, err := g.exchange(u, r, j.Deadline, append(setup, cmd)...)
 		if err != nil {
 			return Answer{}, sent, err
 		}
-		answer := verdict(answers, len(prelude))
-		g.acknowledged(m)
+		answer := lastAnswer(answers, len(setup))
+		g.recordWrite(u)
 		if answer.Code == OK {
-			g.proved(m, asked, answer.Mark)
+			g.recordLeader(u, requestedAt, answer.Mark)
 		}
 		return answer, true, nil
 	}
 	if j.Freshness == cataloger.Latest {
-		return g.sendLatest(m, r, j, cmd, prelude)
+		return g.sendLeaderRead(u, r, j, cmd, setup)
 	}
 	cmd.Since = since
-	answers, sent, err := g.exchange(m, r, j.Deadline, append(prelude, cmd)...)
+	answers, sent, err := g.exchange(u, r, j.Deadline, append(setup, cmd)...)
 	if err != nil {
 		return Answer{}, sent, err
 	}
-	return verdict(answers, len(prelude)), true, nil
+	return lastAnswer(answers, len(setup)), true, nil
 }
 
-func (g *Group) sendLatest(m *member, r *run, j *Job, cmd Command, prelude []Command) (Answer, bool, error) {
-	asked := g.carrier.Now()
-	answers, sent, err := g.exchange(m, r, j.Deadline, append(prelude, Command{Verb: Begin})...)
+func (g *Group) sendLeaderRead(u *upstream, r *run, j *Job, cmd Command, setup []Command) (Answer, bool, error) {
+	requestedAt := g.registry.Now()
+	answers, sent, err := g.exchange(u, r, j.Deadline, append(setup, Command{Verb: Begin})...)
 	if err != nil {
 		return Answer{}, sent, err
 	}
-	began := verdict(answers, len(prelude))
+	began := lastAnswer(answers, len(setup))
 	if began.Code != OK {
 		return began, true, nil
 	}
-	g.proved(m, asked, began.Mark)
-	answers, sent, err = g.exchange(m, r, j.Deadline, cmd, Command{Verb: Rollback})
+	g.recordLeader(u, requestedAt, began.Mark)
+	answers, sent, err = g.exchange(u, r, j.Deadline, cmd, Command{Verb: Rollback})
 	if err != nil {
 		return Answer{}, sent, err
 	}
@@ -279,10 +281,10 @@
 	return answer, true, nil
 }
 
-// verdict returns the answer of the last command. A prelude that failed leaves
-// the connection in an unknown shape: it isn't used again.
-func verdict(answers []Answer, prelude int) Answer {
-	for _, a := range answers[:prelude] {
+// lastAnswer returns the answer to the last command. If a setup command failed, the state
+// of the connection is unknown and it is not used again.
+func lastAnswer(answers []Answer, setup int) Answer {
+	for _, a := range answers[:setup] {
 		if a.Code != OK {
 			return Answer{Code: Failed, Text: "session values couldn't be set: " + a.Text, State: Broken}
 		}
@@ -290,39 +292,40 @@
 	return answers[len(answers)-1]
 }
 
-// again decides what a refusal of a member means for the job.
-func (g *Group) again(m *member, j *Job, a Answer) bool {
+// shouldRetry applies a refusal by an upstream and reports whether the job should be sent
+// again.
+func (g *Group) shouldRetry(u *upstream, j *Job, a Answer) bool {
 	switch a.Code {
 	case Lagging:
-		g.late(m)
-		j.avoid(m)
+		g.recordLag(u)
+		j.markTried(u)
 	case ReadOnly:
-		g.deposed(m)
+		g.handleReadOnly(u)
 		if j.RequiresLeader() {
 			return true
 		}
-		j.avoid(m)
+		j.markTried(u)
 	case Overloaded:
-		anew := !j.RequiresLeader() && !j.tried[m]
-		j.avoid(m)
-		if !anew && (j.CanForward == nil || !j.CanForward()) {
-			return pause(j, crowdedPause)
+		tryOthers := !j.RequiresLeader() && !j.tried[u]
+		j.markTried(u)
+		if !tryOthers && (j.CanForward == nil || !j.CanForward()) {
+			return pause(j, connLimitRetryDelay)
 		}
 	case Busy:
-		g.took(m, 4*ordinary)
+		g.recordAnswerTime(u, 4*defaultLatency)
 		if j.RequiresLeader() {
-			return pause(j, busyPause)
+			return pause(j, busyRetryDelay)
 		}
-		j.avoid(m)
+		j.markTried(u)
 	case NoStatement:
 	case Failed, Timeout:
-		// An upstream that fails part of its work counts as slow, and so gets less
-		// of it, until it answers well again.
-		g.took(m, failing*ordinary)
+		// An upstream that fails part of its work counts as slow, so that it gets less of
+		// it until it answers well again.
+		g.recordAnswerTime(u, failurePenalty*defaultLatency)
 		if j.Writes {
 			return false
 		}
-		j.avoid(m)
+		j.markTried(u)
 	default:
 		return false
 	}
--- a/carrier/lag.go
+++ b/carrier/lag.go
@@ -3,63 +3,63 @@
 import "time"
 
 const (
-	// lagRetry is how long reads that need what a replica probably lacks go elsewhere
-	// before one of them tries it again. A fifth of all arrivals at the upstreams were
-	// refused for lag when each read tried each replica anew.
-	lagRetry = 250 * time.Millisecond
+	// lagRetryDelay is how long reads that a replica probably cannot serve are sent
+	// elsewhere before one of them tries the replica again. When each read tried each
+	// replica anew, the upstreams refused a fifth of all statements for lag.
+	lagRetryDelay = 250 * time.Millisecond
 )
 
-// lag is what is known of how far a replica is behind its leader. Its zero value
-// is a replica that keeps up.
+// lag is what is known of a replica's replication lag. Its zero value is a replica that
+// does not lag.
 type lag struct {
-	// had is the moment up to which the replica's log was complete when it was last
-	// seen to lack something, at seen.
-	had, seen time.Time
-	// retry is when a read that it probably can't serve may try it again.
-	retry time.Time
+	// completeTo is the time up to which the replica's log was complete when it was last
+	// found to lack something, at observedAt.
+	completeTo, observedAt time.Time
+	// retryAt is when a read that the replica probably cannot serve may try it again.
+	retryAt time.Time
 }
 
-// refused takes in that a replica, whose log was complete up to a moment, lacked
+// recordRefused records that a replica whose log was complete up to the given time lacked
 // what a read needed.
-func (l *lag) refused(now, had time.Time) {
-	l.had, l.seen = had, now
-	l.retry = now.Add(lagRetry)
+func (l *lag) recordRefused(now, completeTo time.Time) {
+	l.completeTo, l.observedAt = completeTo, now
+	l.retryAt = now.Add(lagRetryDelay)
 }
 
-// served takes in that a replica had what a read needed, complete up to a moment. One
-// that is behind by a little at most keeps up.
-func (l *lag) served(now, upTo time.Time, little time.Duration) {
+// recordServed records that a replica had what a read needed, with its log complete up to
+// upTo. A replica whose lag is less than negligible is taken not to lag.
+func (l *lag) recordServed(now, upTo time.Time, negligible time.Duration) {
 	switch {
-	case l.seen.IsZero():
-	case now.Sub(upTo) < little:
+	case l.observedAt.IsZero():
+	case now.Sub(upTo) < negligible:
 		*l = lag{}
-	case now.Sub(upTo) < l.seen.Sub(l.had):
-		l.had, l.seen = upTo, now
+	case now.Sub(upTo) < l.observedAt.Sub(l.completeTo):
+		l.completeTo, l.observedAt = upTo, now
 	}
 }
 
-// lacks reports whether the replica probably lacks a log that is complete up to a
-// moment: a replica that applies late goes on to be as late.
+// lacks reports whether the replica probably lacks a log that is complete up to a time. A
+// replica that lags is assumed to keep the same lag.
 func (l *lag) lacks(now, upTo time.Time) bool {
-	if l.seen.IsZero() || !now.Before(l.retry) {
+	if l.observedAt.IsZero() || !now.Before(l.retryAt) {
 		return false
 	}
-	return upTo.After(now.Add(-l.seen.Sub(l.had)))
+	return upTo.After(now.Add(-l.observedAt.Sub(l.completeTo)))
 }
 
-// trying notes that a read goes to the replica, so that the next ones wait for what
-// becomes of it.
-func (l *lag) trying(now time.Time) {
-	if !l.seen.IsZero() && !now.Before(l.retry) {
-		l.retry = now.Add(lagRetry)
+// recordRetry records that a read is sent to the replica, so that the next ones wait for
+// its result.
+func (l *lag) recordRetry(now time.Time) {
+	if !l.observedAt.IsZero() && !now.Before(l.retryAt) {
+		l.retryAt = now.Add(lagRetryDelay)
 	}
 }
 
-// by returns how late the replica was when it was last seen to lack something; zero
-// when that is long ago.
-func (l *lag) by(now time.Time) time.Duration {
-	if l.seen.IsZero() || now.Sub(l.seen) > lately {
+// recent returns the replica's lag when it was last found to lack something; zero when that
+// was long ago.
+func (l *lag) recent(now time.Time) time.Duration {
+	if l.observedAt.IsZero() || now.Sub(l.observedAt) > recentWindow {
 		return 0
 	}
-	return l.seen.Sub(l.had)
+	return l.observedAt.Sub(l.completeTo)
 }
--- a/carrier/lag_test.go
+++ b/carrier/lag_test.go
@@ -7,34 +7,34 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a fifth of what upstreams get is refused for lag, and reads are late.
-// Sequence: a replica receives nothing, or applies a second late, for some seconds;
-// reads that may be 1.5 s old come all the time. Cause: the refusal was forgotten
-// after 60 ms, so each read tried each replica anew.
-func TestALaggingReplicaIsSparedWhatItLacks(t *testing.T) {
+// Guards against an upstream that spends a fifth of its load on refusing reads for lag, so
+// that these are late. A replica receives nothing, or applies a second late, for some
+// seconds, while reads that may be 1.5 s old keep arriving. When a refusal was forgotten
+// after 60 ms, each read tried each replica anew.
+func TestReadsAvoidLaggingReplica(t *testing.T) {
 	is := is.New(t)
-	const little = 100 * time.Millisecond
+	const negligible = 100 * time.Millisecond
 	now := time.Unix(1000, 0)
 	var l lag
-	is.True(!l.lacks(now, now)) // nothing is known against it
-	l.refused(now, now.Add(-time.Second))
+	is.True(!l.lacks(now, now)) // nothing is known yet
+	l.recordRefused(now, now.Add(-time.Second))
 	now = now.Add(50 * time.Millisecond)
 	is.True(l.lacks(now, now.Add(-900*time.Millisecond)))
-	is.True(!l.lacks(now, now.Add(-1200*time.Millisecond))) // an older log will do
-	now = now.Add(lagRetry)
+	is.True(!l.lacks(now, now.Add(-1200*time.Millisecond))) // an older log is enough
+	now = now.Add(lagRetryDelay)
 	is.True(!l.lacks(now, now)) // one read tries again
-	l.trying(now)
-	is.True(l.lacks(now, now)) // and the next ones don't
-	l.served(now, now.Add(-500*time.Millisecond), little)
-	is.True(!l.lacks(now, now.Add(-600*time.Millisecond))) // it has caught up by half
+	l.recordRetry(now)
+	is.True(l.lacks(now, now)) // and the next ones do not
+	l.recordServed(now, now.Add(-500*time.Millisecond), negligible)
+	is.True(!l.lacks(now, now.Add(-600*time.Millisecond))) // its lag has halved
 	is.True(l.lacks(now, now.Add(-400*time.Millisecond)))
-	l.served(now, now.Add(-50*time.Millisecond), little)
-	is.True(!l.lacks(now, now)) // it keeps up
+	l.recordServed(now, now.Add(-50*time.Millisecond), negligible)
+	is.True(!l.lacks(now, now)) // it no longer lags
 }
 
-// A sample tells when the leader's log was complete up to a mark, and up to when the
-// log of a replica at a mark is.
-func TestMomentsOfMarks(t *testing.T) {
+// Samples give the time at which the leader's log first contained a mark, and the time up
+// to which the log of a replica at a mark is complete.
+func TestSampleTimes(t *testing.T) {
 	is := is.New(t)
 	var s samples
 	start := time.Unix(1000, 0)
@@ -42,9 +42,9 @@
 	for i := range 10 {
 		s.add(at(i), mark(1, uint64(10*i)))
 	}
-	is.Equal(s.needed(mark(1, 35), at(20)), at(4)) // the first at which the log had it
-	is.Equal(s.needed(mark(1, 95), at(20)), at(20))
-	is.Equal(s.complete(mark(1, 35)), at(3))
-	is.Equal(s.complete(mark(1, 90)), at(9))
-	is.Equal(s.complete(mark(0, 35)), time.Time{}) // before all that is known
+	is.Equal(s.firstContaining(mark(1, 35), at(20)), at(4)) // the first at which the log contained it
+	is.Equal(s.firstContaining(mark(1, 95), at(20)), at(20))
+	is.Equal(s.completeTo(mark(1, 35)), at(3))
+	is.Equal(s.completeTo(mark(1, 90)), at(9))
+	is.Equal(s.completeTo(mark(0, 35)), time.Time{}) // before all samples
 }
--- a/carrier/leave.go
+++ b/carrier/leave.go
@@ -6,43 +6,45 @@
 	"go.uber.org/zap"
 )
 
-// early is how long before the time of an upstream that leaves is over it gets its last
-// new work. Word of its leaving comes late, by 60 ms from the store and by a round of
-// gossip, 0.5 s, from a peer; what is sent arrives late, by 0.2 s where a packet is lost.
-const early = time.Second
+// drainMargin is how long before the end of a leaving upstream's time it gets its last new
+// work. The notice that it is leaving arrives late, by 60 ms from the store and by one
+// gossip round, 0.5 s, from a peer; work that is sent arrives late, by 0.2 s where a packet
+// is lost.
+const drainMargin = time.Second
 
-// noteLeaving takes in whether a member leaves, and for how much longer it may get new work.
-// One that is new here and leaves already has said so at some time before: it gets half
-// of the time. The caller has the lock.
+// setDrainTime records whether an upstream is leaving and for how much longer it may
+// get new work. An upstream that is already leaving when it is first seen announced that at
+// an unknown earlier time, so it gets half of the time. The caller must hold g.mu.
 //
-// A leader that leaves is used until another one leads, and nothing else ends that where
-// none can: its last replica is away, or has missed what only the leader has. Callers
-// then saw their statements taken by an upstream that was about to end, up to 10 s after
-// it had said so. They are refused instead, and told to come back.
-func (g *Group) noteLeaving(m *member, left time.Duration) {
-	m.ends, m.closing = time.Time{}, false
-	if m.entry.Leaving && left > 0 {
-		m.ends = g.carrier.Now().Add(left - early)
+// A leaving leader is used until another upstream leads. That may never happen: its last
+// replica is unreachable, or lacks what only the leader has. Callers then had their
+// statements accepted by an upstream that was about to stop, up to 10 s after it had
+// announced it. After the deadline they are refused instead and told to retry.
+func (g *Group) setDrainTime(u *upstream, left time.Duration) {
+	u.endsAt, u.drainEndReported = time.Time{}, false
+	if u.entry.Leaving && left > 0 {
+		u.endsAt = g.registry.Now().Add(left - drainMargin)
 	}
 }
 
-// closed reports whether a member gets no more work. The caller has the lock.
-func (m *member) closed(now time.Time) bool { return !m.ends.IsZero() && !now.Before(m.ends) }
+// drained reports whether the upstream gets no more work. The caller must hold the
+// group's lock.
+func (u *upstream) drained(now time.Time) bool { return !u.endsAt.IsZero() && !now.Before(u.endsAt) }
 
-func (g *Group) isClosed(m *member) bool {
+func (g *Group) hasDrainEnded(u *upstream) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return m.closed(g.carrier.Now())
+	return u.drained(g.registry.Now())
 }
 
-// noteClosed says once that a member's time is over, and wakes who waits for it. The caller
-// has the lock.
-func (g *Group) noteClosed(m *member, now time.Time) {
-	if m.closing || !m.closed(now) {
+// reportDrainEnded logs, once, that an upstream's time for new work is over, and wakes what
+// waits for it. The caller must hold g.mu.
+func (g *Group) reportDrainEnded(u *upstream, now time.Time) {
+	if u.drainEndReported || !u.drained(now) {
 		return
 	}
-	m.closing = true
-	g.log().Warn("carrier: upstream gets no more work", zap.String("group", g.name), zap.String("upstream", m.id),
-		zap.Bool("leads", m == g.leader), zap.Int("running", len(m.running)))
-	g.signal()
+	u.drainEndReported = true
+	g.log().Warn("carrier: leaving upstream gets no more work", zap.String("group", g.name), zap.String("upstream", u.id),
+		zap.Bool("leads", u == g.leader), zap.Int("running", len(u.running)))
+	g.notifyWaiters()
 }
--- a/carrier/leave_test.go
+++ b/carrier/leave_test.go
@@ -11,125 +11,125 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// leaving is what an upstream that leaves may still get in these tests.
-const leaving = 7 * time.Second
+// leaveTimeout is how long a leaving upstream may get new work in these tests.
+const leaveTimeout = 7 * time.Second
 
-// leavingGroup returns a group whose leader, a, and two replicas answer, and what the
-// store lists of them.
-func leavingGroup(s *stuckGroup) (*Group, []cataloger.Upstream) {
-	c := &Registry{Dial: s.dial, LeaveTimeout: leaving, Now: time.Now, Log: zap.NewNop()}
+// newLeavingGroup returns a group whose leader, a, and two replicas answer, and the store's
+// list of them.
+func newLeavingGroup(s *laggingGroup) (*Group, []cataloger.Upstream) {
+	c := &Registry{Dial: s.dial, LeaveTimeout: leaveTimeout, Now: time.Now, Log: zap.NewNop()}
 	c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
-	all := []cataloger.Upstream{listedAt("a", 1), listedAt("b", 2), listedAt("c", 3)}
+	all := []cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)}
 	all[0].Leads = true
 	c.Apply(all)
 	g, _ := c.Group("g")
 	return g, all
 }
 
-// Symptom: callers' requests reach a leader that has said that it leaves, beyond the time
-// in which it may get any, until it is gone. Sequence: nobody can follow it in time: one
-// replica is away, and the other hasn't received what only the leader has. Cause: only a
-// change of leader ended its work, and nothing did where that couldn't be. Evidence: the
-// leader had been promoted again 1.2 s before its time was over, since it alone had
-// everything, and no process looked at how much of its time was left.
-func TestALeaderThatLeavesGetsNoWorkWhenItsTimeIsOver(t *testing.T) {
+// Guards against sending requests to a leaving leader beyond the time in which it may get
+// any, until it is gone. No replica can take over in time: one is unreachable, and the
+// other lacks what only the leader has. Only a change of leader used to end the leader's
+// work. For example, a leader that alone has everything can be promoted again 1.2 s before
+// the end of its time, and then nothing checks how much of its time is left.
+func TestLeavingLeaderGetsNoWorkAfterDrainTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, all := leavingGroup(newStuckGroup())
+		g, all := newLeavingGroup(newLaggingGroup())
 		all[0].Leaving = true
-		g.carrier.Apply(all)
+		g.registry.Apply(all)
 		began := time.Now()
-		for time.Since(began) < leaving/2 {
-			is.Equal(readLatest(g), OK)
+		for time.Since(began) < leaveTimeout/2 {
+			is.Equal(readLeader(g), OK)
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(leaving/2 - early/2)
+		time.Sleep(leaveTimeout/2 - drainMargin/2)
 		asked := time.Now()
-		is.Equal(readLatest(g), Busy)
+		is.Equal(readLeader(g), Busy)
 		is.Equal(time.Since(asked), time.Duration(0)) // at once
-		is.Equal(g.Observe().LeaderAnswers, true)     // so that the holder goes on with the change
+		is.Equal(g.Observe().LeaderAnswers, true)     // so the lease holder continues the change of leader
 		is.True(!g.CanServe(&Job{}))
 
 		all[0].Leaving = false // it stays after all
-		g.carrier.Apply(all)
-		is.Equal(readLatest(g), OK)
-		g.carrier.Stop()
+		g.registry.Apply(all)
+		is.Equal(readLeader(g), OK)
+		g.registry.Stop()
 		time.Sleep(time.Second)
 	})
 }
 
-// Symptom: the same, by a process that has just started. Sequence: the leader leaves while
-// the process starts. Cause: the time counts from when the process first heard of it.
-func TestAnUpstreamThatLeavesAlreadyGetsLess(t *testing.T) {
+// Guards against the same fault in a process that starts while the leader is leaving: such
+// a process must not count the full time from when it first saw the leader.
+func TestUpstreamFirstSeenLeavingGetsHalfTheTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	c := &Registry{LeaveTimeout: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
-	u := listedAt("a", 1)
-	u.Leaving = true
-	c.Apply([]cataloger.Upstream{u})
+	c := &Registry{LeaveTimeout: leaveTimeout, Now: func() time.Time { return now }, Log: zap.NewNop()}
+	listed := upstreamAtPort("a", 1)
+	listed.Leaving = true
+	c.Apply([]cataloger.Upstream{listed})
 	g, _ := c.Group("g")
-	now = now.Add(leaving/2 - early)
-	is.True(g.isClosed(g.members[0]))
-	c.LeaveTimeout = 0 // no bound
-	g.noteLeaving(g.members[0], c.LeaveTimeout)
-	is.True(!g.isClosed(g.members[0]))
+	now = now.Add(leaveTimeout/2 - drainMargin)
+	is.True(g.hasDrainEnded(g.upstreams[0]))
+	c.LeaveTimeout = 0 // no limit
+	g.setDrainTime(g.upstreams[0], c.LeaveTimeout)
+	is.True(!g.hasDrainEnded(g.upstreams[0]))
 }
 
-// Symptom: the same. Sequence: a statement waits for a place at the leader while its time
-// ends. Cause: the time is only looked at when an upstream is chosen.
-func TestAStatementThatWaitedIsNotSentTooLate(t *testing.T) {
+// Guards against the same fault for a statement that waits for a connection to the leader
+// while the leader's time ends: checking the time only when an upstream is chosen is not
+// enough.
+func TestQueuedStatementIsNotSentAfterDrainTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := leavingGroup(newStuckGroup())
-		m := g.members[0]
+		g, _ := newLeavingGroup(newLaggingGroup())
+		u := g.upstreams[0]
 		j := &Job{Writes: true, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
-		m.ends = time.Now()
-		r, refused := g.open(m, j)
+		u.endsAt = time.Now()
+		r, refused := g.acquireConn(u, j)
 		is.True(r == nil)
 		is.Equal(refused.Code, Busy) // it has not run
-		is.Equal(m.pool.Stats().Open, 1)
-		g.carrier.Stop()
+		is.Equal(u.pool.Stats().Open, 1)
+		g.registry.Stop()
 		time.Sleep(time.Second)
 	})
 }
 
-// A replica whose time is over gets no reads either, also when nobody else answers.
-func TestAReplicaWhoseTimeIsOverGetsNoReads(t *testing.T) {
+// A replica whose time is over gets no reads, even when no other upstream answers.
+func TestReplicaGetsNoReadsAfterDrainTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStuckGroup()
-		s.hangs = map[string]uint64{}
-		g, _ := leavingGroup(s)
-		is.Equal(readLatest(g), OK)
-		g.members[0].barred, g.members[2].barred = true, true
+		s := newLaggingGroup()
+		s.stoppedAt = map[string]uint64{}
+		g, _ := newLeavingGroup(s)
+		is.Equal(readLeader(g), OK)
+		g.upstreams[0].ejected, g.upstreams[2].ejected = true, true
 		now := time.Now()
 		job := func() *Job {
 			return &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
 		}
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Upstream, "b")
-		g.members[1].ends = now
+		g.upstreams[1].endsAt = now
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Code, Busy)
-		g.carrier.Stop()
+		g.registry.Stop()
 		time.Sleep(time.Second)
 	})
 }
 
-// Symptom: callers' requests reach a leader beyond the time in which one that leaves may
-// get any. Sequence: only the store has lost the leader, which counts as leaving meanwhile;
-// its entry is back, and says that it leaves. Cause: that was no news.
-func TestAnUpstreamThatIsListedAgainAsLeavingHasATime(t *testing.T) {
+// Guards against sending requests to a leaving leader beyond its time after only the store
+// had lost it. It counts as leaving while its entry is missing. The entry that comes back
+// says that it is leaving, which must count as a change.
+func TestUpstreamListedAgainAsLeavingGetsDrainTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	c := &Registry{LeaveTimeout: leaving, Now: func() time.Time { return now }, Log: zap.NewNop()}
-	all := []cataloger.Upstream{listedAt("a", 1), listedAt("b", 2)}
+	c := &Registry{LeaveTimeout: leaveTimeout, Now: func() time.Time { return now }, Log: zap.NewNop()}
+	all := []cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2)}
 	c.Apply(all)
 	g, _ := c.Group("g")
-	m := g.members[0]
-	m.answered = now
+	u := g.upstreams[0]
+	u.answeredAt = now
 	c.Apply(all[1:])
-	is.True(m.entry.Leaving)
-	is.True(m.ends.IsZero())
+	is.True(u.entry.Leaving)
+	is.True(u.endsAt.IsZero())
 	all[0].Leaving = true
 	c.Apply(all)
-	is.Equal(m.ends, now.Add(leaving-early))
+	is.Equal(u.endsAt, now.Add(leaveTimeout-drainMargin))
 }
--- a/carrier/lost.go
+++ b/carrier/lost.go
@@ -11,120 +11,118 @@
 	"basildale.example/basildale/tracker"
 )
 
-// excusedAfter is how long an upstream must have been off the store's list before
-// a change of leader goes on without it. Upstreams that crash are back, or have
-// lost their entry, within some 7 s, and partitions last up to 12 s; one that is
-// still missing has gone for good. By then the leader has led on, and everything
-// that the missing one could have confirmed alone is at or before the position
-// that the leader stated since: the new leader's log must reach it.
-const excusedAfter = 15 * time.Second
+// absentTimeout is how long an upstream must have been off the store's list before a change
+// of leader goes on without it. Upstreams that crash are back, or have lost their entry,
+// within some 7 s, and partitions last up to 12 s; one that is still missing will not
+// return. By then the leader has continued to lead, and everything that only the missing
+// upstream could have confirmed is at or before the position that the leader has stated
+// since: the new leader's log must reach that position.
+const absentTimeout = 15 * time.Second
 
-// absent is an upstream that the store lists no longer. It may have the only
-// confirmed copy of a commit: one that is cut off from the store loses its entry
-// while it goes on receiving, and a crashed one comes back with its log.
-type absent struct {
+// absentUpstream is an upstream that the store no longer lists. It may have the only
+// confirmed copy of a commit: one that is partitioned from the store loses its entry while
+// it goes on receiving, and a crashed one comes back with its log.
+type absentUpstream struct {
 	entry cataloger.Upstream
 	since time.Time
 }
 
-// miss notes that a member was taken off the list. The caller has the lock.
-func (g *Group) miss(m *member) {
-	if g.lost == nil {
-		g.lost = map[string]*absent{}
+// recordAbsent records that an upstream was taken off the list. The caller must hold g.mu.
+func (g *Group) recordAbsent(u *upstream) {
+	if g.absent == nil {
+		g.absent = map[string]*absentUpstream{}
 	}
-	g.lost[m.id] = &absent{entry: m.entry, since: g.carrier.Now()}
+	g.absent[u.id] = &absentUpstream{entry: u.entry, since: g.registry.Now()}
 }
 
-// restarted reports whether an entry is of a later start of the same upstream. One
-// that doesn't say when it started is taken for the same: earlier platforms say nothing.
-func restarted(before, after cataloger.Upstream) bool {
+// isRestart reports whether an entry is of a later start of the same upstream. One without
+// a start time counts as the same start: earlier platforms do not state it.
+func isRestart(before, after cataloger.Upstream) bool {
 	return !before.Born.IsZero() && before.Born.Before(after.Born)
 }
 
-// account drops absent upstreams whose logs are accounted for: they are listed
-// again, or another one has taken over their address and with it their log. One that
-// has started again holds nothing of before: see forgot. The caller has the lock.
-func (g *Group) account() {
-	for _, m := range g.members {
-		if a := g.lost[m.id]; a != nil && restarted(a.entry, m.entry) {
-			g.forgot(m)
+// resolveAbsent drops absent upstreams whose logs are accounted for: they are listed again,
+// or another one has taken over their address and with it their log. One that has restarted
+// has lost its log: see recordRestart. The caller must hold g.mu.
+func (g *Group) resolveAbsent() {
+	for _, u := range g.upstreams {
+		if a := g.absent[u.id]; a != nil && isRestart(a.entry, u.entry) {
+			g.recordRestart(u)
 		}
-		delete(g.lost, m.id)
-		for id, a := range g.lost {
-			if a.entry.Address == m.entry.Address {
-				g.log().Info("carrier: log accounted for", zap.String("group", g.name), zap.String("upstream", id), zap.String("successor", m.id))
-				delete(g.lost, id)
+		delete(g.absent, u.id)
+		for id, a := range g.absent {
+			if a.entry.Address == u.entry.Address {
+				g.log().Info("carrier: log of absent upstream taken over by successor", zap.String("group", g.name), zap.String("upstream", id), zap.String("successor", u.id))
+				delete(g.absent, id)
 			}
 		}
 	}
 }
 
-// forgot takes in that an upstream has started again. It may have had the only
-// confirmed copy of what the leader acknowledged until then, so a new leader must have
-// all of that: one sees bookings lost when the leader crashes right after such a
-// replica, and the other one, which received less, is promoted. What the leader
-// confirms from now on, it confirms by copies that are still there. The caller has the
-// lock.
-func (g *Group) forgot(m *member) {
-	m.restart = g.carrier.Now()
+// recordRestart records that an upstream has restarted without its log. It may have had the
+// only confirmed copy of what the leader acknowledged until then, so a new leader must have
+// all of that. Otherwise bookings are lost when the leader crashes right after such a
+// replica, and the other replica, which received less, is promoted. What the leader
+// confirms from now on is confirmed by copies that still exist. The caller must hold g.mu.
+func (g *Group) recordRestart(u *upstream) {
+	u.restartedAt = g.registry.Now()
 	if newest, known := g.samples.last(); known {
-		m.floor = newest.mark
+		u.minReceived = newest.mark
 	}
 }
 
-// settle takes in a position of the leader's that was asked for at a moment. The first
-// one after a restart is at or past all that the leader had acknowledged before it.
-// The caller has the lock.
-func (g *Group) settle(asked time.Time, mark tracker.Mark) {
-	for _, m := range g.members {
-		if !m.restart.IsZero() && asked.After(m.restart) {
-			m.restart, m.floor = time.Time{}, mark
+// resolveRestarts applies a position of the leader that was requested at a given time. The
+// first one requested after a restart is at or past everything that the leader had
+// acknowledged before the restart. The caller must hold g.mu.
+func (g *Group) resolveRestarts(requestedAt time.Time, mark tracker.Mark) {
+	for _, u := range g.upstreams {
+		if !u.restartedAt.IsZero() && requestedAt.After(u.restartedAt) {
+			u.restartedAt, u.minReceived = time.Time{}, mark
 		}
 	}
 }
 
-func further(a, b tracker.Mark) tracker.Mark {
+func laterMark(a, b tracker.Mark) tracker.Mark {
 	if a.Less(b) {
 		return b
 	}
 	return a
 }
 
-// missing appends the absent upstreams that a change of leader must reckon with,
-// and returns how far the new leader's log must reach in place of the others. The
-// caller has the lock.
-func (g *Group) missing(seen []UpstreamView, now time.Time) ([]UpstreamView, tracker.Mark) {
-	var floor tracker.Mark
-	for _, m := range g.members {
-		floor = further(floor, m.floor)
+// appendAbsent appends the absent upstreams that a change of leader must take into account.
+// It also returns the position that the new leader's log must reach to cover the others.
+// The caller must hold g.mu.
+func (g *Group) appendAbsent(seen []UpstreamView, now time.Time) ([]UpstreamView, tracker.Mark) {
+	var minReceived tracker.Mark
+	for _, u := range g.upstreams {
+		minReceived = laterMark(minReceived, u.minReceived)
 	}
-	for id, a := range g.lost {
+	for id, a := range g.absent {
 		newest, known := g.samples.last()
-		if known && now.Sub(a.since) > excusedAfter && newest.asked.Sub(a.since) > time.Second {
-			floor = further(floor, newest.mark)
+		if known && now.Sub(a.since) > absentTimeout && newest.requestedAt.Sub(a.since) > time.Second {
+			minReceived = laterMark(minReceived, newest.mark)
 			continue
 		}
 		seen = append(seen, UpstreamView{ID: id, StartedAt: a.entry.Born, Leaving: a.entry.Leaving, Ejected: true, Unlisted: true})
 	}
-	return seen, floor
+	return seen, minReceived
 }
 
-// controlLost sends a control command to an absent upstream, on a connection of
-// its own.
-func (g *Group) controlLost(id string, deadline time.Time, cmd Command) (Report, error) {
+// controlAbsent sends a control command to an absent upstream, on a connection of its own.
+func (g *Group) controlAbsent(id string, deadline time.Time, cmd Command) (Report, error) {
 	g.mu.Lock()
-	a := g.lost[id]
+	a := g.absent[id]
 	g.mu.Unlock()
 	if a == nil {
 		return Report{}, errors.Wrapf(ErrUnknown, "%s", id)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	l, err := g.carrier.Dial(ctx, a.entry, "")
+	l, err := g.registry.Dial(ctx, a.entry, "")
 	if err != nil {
 		return Report{}, err
 	}
-	defer func() { _ = l.Close() }() // it has nothing left to say
+	defer func() { _ = l.Close() }() // the exchange is over whether or not closing fails
 	answers, _, err := l.Exchange(deadline, cmd)
 	if err != nil {
 		return Report{}, err
--- a/carrier/member.go
+++ b/carrier/member.go
@@ -11,22 +11,22 @@
 	"basildale.example/basildale/tracker"
 )
 
-// Constants of how an upstream is judged.
+// Parameters of the expected latency of an upstream.
 const (
-	// ordinary is the latency assumed of an upstream that hasn't answered yet:
-	// the mean work of a read, 33 ms.
-	ordinary = 33 * time.Millisecond
-	// smoothing is the weight of a new answer in the moving mean. About ten
-	// answers make it up, a third of a second at 30 a second.
-	smoothing = 0.1
-	// fading is the time in which an unused upstream's excess latency halves, so
-	// that one that was slow is tried again.
-	fading = 2 * time.Second
+	// defaultLatency is the latency assumed of an upstream that has not answered yet: the
+	// mean work of a read, 33 ms.
+	defaultLatency = 33 * time.Millisecond
+	// latencySmoothing is the weight of a new answer in the moving mean. The mean spans
+	// about ten answers, a third of a second at 30 a second.
+	latencySmoothing = 0.1
+	// latencyHalfLife is the time in which the excess latency of an unused upstream halves,
+	// so that one that was slow is tried again.
+	latencyHalfLife = 2 * time.Second
 )
 
-// member is one upstream of a group, from one start of it to the next. All fields but
-// the first five, which never change, are guarded by the group's lock.
-type member struct {
+// upstream is one upstream of a group, from one start of it to the next. All fields but the
+// first five, which never change, are guarded by the group's lock.
+type upstream struct {
 	id     string
 	slots  int // statements that it runs at a time; zero when unknown
 	pool   *pooler.Pool[*conn]
@@ -34,118 +34,119 @@
 	gate   *limiter.Gate
 	entry  cataloger.Upstream
 
-	running  map[*run]struct{}
-	answered time.Time // when it last answered anything
-	wrote    time.Time // when it last acknowledged a write
-	starved  time.Time // when a write was last given up there, and none had been answered since it was sent
-	latency  time.Duration
-	measured time.Time // when latency last changed
-	lag      lag
-	turned   time.Time // when its gate last refused a statement
-	faults   faults
-	mark     tracker.Mark
-	ends     time.Time // when its time for new work is over; zero while that isn't known
-	closing  bool      // that it is over was logged
-	unlisted time.Time // since when the store doesn't list it, though it answers
-	// restart is when it was found to have started again, and floor how far the log of
-	// a new leader must reach for that.
-	restart time.Time
-	floor   tracker.Mark
-
-	barred  bool
-	since   time.Time // when it was barred
-	probeAt time.Time // when to try it again, while barred
-	probing bool
-	asked   bool // whether it leads; the answer is on its way
-	pause   time.Duration
-	gone    bool
+	running          map[*run]struct{}
+	answeredAt       time.Time // when it last answered anything
+	wroteAt          time.Time // when it last acknowledged a write
+	writeTimedOutAt  time.Time // when a write there last timed out with none acknowledged since it was sent
+	latency          time.Duration
+	latencyUpdatedAt time.Time // when latency last changed
+	lag              lag
+	rejectedAt       time.Time // when its gate last rejected a statement
+	failures         failureRate
+	mark             tracker.Mark
+	endsAt           time.Time // when it gets no more new work; zero while that is not known
+	drainEndReported bool      // the end of new work was logged
+	unlistedSince    time.Time // since when the store does not list it, though it answers
+	// restartedAt is when it was found to have restarted, and minReceived the position that
+	// the log of a new leader must reach because of that.
+	restartedAt time.Time
+	minReceived tracker.Mark
+
+	ejected        bool
+	ejectedAt      time.Time // when it was ejected
+	probeAt        time.Time // when to probe it next, while ejected
+	probing        bool
+	checkingLeader bool // a check whether it leads is running
+	probeInterval  time.Duration
+	removed        bool
 }
 
-// run is something this proxy has under way at a member.
+// run is an operation of this proxy on an upstream.
 type run struct {
-	conn    *conn
-	started time.Time // when the running exchange began; zero between two
-	harmful bool      // its loss leaves the caller in doubt, so it isn't aborted
+	conn              *conn
+	exchangeStartedAt time.Time // when the running exchange began; zero between two
+	inDoubtIfLost     bool      // if its answer is lost its outcome is in doubt, so it is not aborted
 }
 
-func (m *member) candidate(now, upTo time.Time, leads, local, tried bool, places int) placer.Candidate {
-	if m.opener.refused() {
-		places = m.pool.Stats().Open
+func (u *upstream) candidate(now, upTo time.Time, leads, sameZone, tried bool, maxConns int) placer.Candidate {
+	if u.opener.isBlocked() {
+		maxConns = u.pool.Stats().Open
 	}
 	return placer.Candidate{
 		IsLeader:       leads,
-		Leaving:        m.entry.Leaving,
-		DrainEnded:     m.closed(now),
-		Ejected:        m.barred,
-		SameZone:       local,
-		Lagging:        m.lag.lacks(now, upTo),
+		Leaving:        u.entry.Leaving,
+		DrainEnded:     u.drained(now),
+		Ejected:        u.ejected,
+		SameZone:       sameZone,
+		Lagging:        u.lag.lacks(now, upTo),
 		Tried:          tried,
-		Mark:           m.mark,
-		InFlight:       len(m.running),
-		QueueWait:      m.gate.ExpectedWait(),
-		MaxConnections: places,
-		Latency:        m.expected(now),
+		Mark:           u.mark,
+		InFlight:       len(u.running),
+		QueueWait:      u.gate.ExpectedWait(),
+		MaxConnections: maxConns,
+		Latency:        u.expectedLatency(now),
 	}
 }
 
-// astray is how often the time of opening a connection counts at another replica than the
-// one where the workspace's reads should have theirs.
-const astray = 2
+// otherReplicaFactor multiplies the time to open a connection at upstreams other than the
+// workspace's home replica.
+const otherReplicaFactor = 2
 
-// opening returns what opening a connection for a workspace counts as in the choice of an
-// upstream for a read. The leader has one for whatever only it may do; reads that follow
-// that would take its slots from such work, so for them it counts as one that has none.
-func (m *member) opening(workspace string, leads, home bool) time.Duration {
+// connectDelay returns the cost of opening a connection for a workspace when an upstream is
+// chosen for a read. The leader usually has an open connection for the work that only it
+// may do. Reads that used it would take the leader's slots from such work, so for reads the
+// leader counts as having none.
+func (u *upstream) connectDelay(workspace string, leads, home bool) time.Duration {
 	switch {
-	case workspace == "", !leads && m.pool.HasIdle(workspace):
+	case workspace == "", !leads && u.pool.HasIdle(workspace):
 		return 0
 	case home:
-		return m.opener.expected()
+		return u.opener.expectedTime()
 	default:
-		return astray * m.opener.expected()
+		return otherReplicaFactor * u.opener.expectedTime()
 	}
 }
 
-// expected returns the moving mean of the latency, faded towards the ordinary
-// one for the time in which nothing was measured.
-func (m *member) expected(now time.Time) time.Duration {
-	if m.measured.IsZero() {
-		return ordinary
+// expectedLatency returns the moving mean of the latency, decayed towards the default
+// latency for the time in which nothing was measured.
+func (u *upstream) expectedLatency(now time.Time) time.Duration {
+	if u.latencyUpdatedAt.IsZero() {
+		return defaultLatency
 	}
-	excess := m.latency - ordinary
+	excess := u.latency - defaultLatency
 	if excess <= 0 {
-		return m.latency
+		return u.latency
 	}
-	halves := now.Sub(m.measured) / fading
-	return ordinary + excess>>min(uint(halves), 16)
+	halfLives := now.Sub(u.latencyUpdatedAt) / latencyHalfLife
+	return defaultLatency + excess>>min(uint(halfLives), 16)
 }
 
-// observe takes in the latency of an answer, scaled to that of an ordinary read.
-func (m *member) observe(now time.Time, took time.Duration) {
-	before := m.expected(now)
-	m.latency = before + time.Duration(smoothing*float64(took-before))
-	m.measured = now
+// recordLatency adds the latency of an answer, scaled to that of an ordinary read.
+func (u *upstream) recordLatency(now time.Time, took time.Duration) {
+	before := u.expectedLatency(now)
+	u.latency = before + time.Duration(latencySmoothing*float64(took-before))
+	u.latencyUpdatedAt = now
 }
 
-// connection returns a connection for what runs no statement of a caller, opening one
-// if need be, before the deadline.
-func (m *member) connection(deadline time.Time) (*conn, error) {
-	if l, ok := m.pool.TryGet(); ok {
+// getConn returns a connection for work that runs no statement of a caller. It opens one if
+// needed, before the deadline.
+func (u *upstream) getConn(deadline time.Time) (*conn, error) {
+	if l, ok := u.pool.TryGet(); ok {
 		return l, nil
 	}
-	return m.wait(deadline, m.pool.Get)
+	return u.waitForConn(deadline, u.pool.Get)
 }
 
-// connectionFor returns a connection for the statements of a workspace.
-func (m *member) connectionFor(workspace string, deadline time.Time) (*conn, error) {
-	if l, ok := m.pool.TryGetFor(workspace); ok {
+// getConnFor returns a connection for the statements of a workspace.
+func (u *upstream) getConnFor(workspace string, deadline time.Time) (*conn, error) {
+	if l, ok := u.pool.TryGetFor(workspace); ok {
 		return l, nil
 	}
-	return m.wait(deadline, func(ctx context.Context) (*conn, error) { return m.pool.GetFor(ctx, workspace) })
+	return u.waitForConn(deadline, func(ctx context.Context) (*conn, error) { return u.pool.GetFor(ctx, workspace) })
 }
 
-func (m *member) wait(deadline time.Time, get func(context.Context) (*conn, error)) (*conn, error) {
-	if m.full() {
+func (u *upstream) waitForConn(deadline time.Time, get func(context.Context) (*conn, error)) (*conn, error) {
+	if u.isFull() {
 		return nil, ErrConnectionLimit
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -153,6 +154,6 @@
 	return get(ctx)
 }
 
-// full reports whether the upstream has no room for this process, which has no
-// connection there either: who waited for one would wait in vain.
-func (m *member) full() bool { return m.opener.refused() && m.pool.Stats().Open == 0 }
+// isFull reports whether the upstream is at its connection limit and this process has no
+// connection to it: waiting for one would be in vain.
+func (u *upstream) isFull() bool { return u.opener.isBlocked() && u.pool.Stats().Open == 0 }
--- a/carrier/observe.go
+++ b/carrier/observe.go
@@ -8,54 +8,54 @@
 	"basildale.example/basildale/tracker"
 )
 
-// stuckAfter is how long a write at the leader may go unanswered, while none is
-// answered, before the leader counts as cut off from its replicas. A commit takes
-// 20 to 80 ms and one of five may wait for as long.
-const stuckAfter = 700 * time.Millisecond
+// commitStallThreshold is how long a write at the leader may go unanswered, while no other
+// is answered, before the leader counts as partitioned from its replicas. A commit takes 20
+// to 80 ms, and one of five may wait for that long.
+const commitStallThreshold = 700 * time.Millisecond
 
-// starvedFor is how long a write that was given up counts, before another one is
-// tried. Without it a leader with one writer would count as well again each time
-// that the writer's second is over.
-const starvedFor = 1200 * time.Millisecond
+// commitStallHold is how long a write that timed out counts, before another one is tried.
+// Without it a leader with one writer would count as healthy again each time that the
+// writer's one second is over.
+const commitStallHold = 1200 * time.Millisecond
 
 // ErrUnknown means that the group has no such upstream.
 var ErrUnknown = errors.New("carrier: no such upstream")
 
 // ErrRefused means that an upstream refused a control command.
-var ErrRefused = errors.New("carrier: upstream refused")
+var ErrRefused = errors.New("carrier: upstream refused control command")
 
-// UpstreamView is one upstream, as the control side sees it.
+// UpstreamView is one upstream, as a change of leader sees it.
 type UpstreamView struct {
 	ID string
-	// StartedAt is when it started; zero where it doesn't say.
+	// StartedAt is when it started; zero where it does not state it.
 	StartedAt time.Time
 	Leaving   bool
 	Ejected   bool
-	// Unlisted says that the store lists it no longer, and nobody knows what became of
-	// its log.
+	// Unlisted means that the store no longer lists it and that its log is not accounted
+	// for.
 	Unlisted bool
 }
 
 // Observation is what this process sees of a group.
 type Observation struct {
-	// Leader is the upstream that leads or led last; Leads says that it answers.
+	// Leader is the upstream that leads or led last; LeaderAnswers is true if it answers.
 	Leader        string
 	LeaderAnswers bool
-	// Isolated says that none of the others can be reached either, so that the next
-	// leader can't be.
+	// Isolated is true if no other upstream can be reached either, so that the next leader
+	// could not be reached.
 	Isolated bool
-	// CommitStalled says that the leader doesn't acknowledge writes.
+	// CommitStalled is true if the leader does not acknowledge writes.
 	CommitStalled bool
-	// Failing says that the leader fails much of what it is asked, though it answers.
+	// Failing is true if the leader answers but fails much of its work.
 	Failing bool
-	// LeaderOverloaded says that the leader is asked for more than it can do, while the replicas
-	// are too late for any read.
+	// LeaderOverloaded is true if the leader gets more work than it can do while the
+	// replicas lag too much for any read.
 	LeaderOverloaded bool
 	Term             tracker.Term
 	Upstreams        []UpstreamView
-	// MinReceived, when set, is how far the log of a new leader must reach: some lost
-	// upstreams are no longer reckoned with, for which see excusedAfter, or some have
-	// started again and hold nothing of before.
+	// MinReceived, when set, is the position that the log of a new leader must reach: some
+	// absent upstreams are no longer waited for (see absentTimeout), or some have restarted
+	// and lost their logs.
 	MinReceived tracker.Mark
 }
 
@@ -63,34 +63,34 @@
 func (g *Group) Observe() Observation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	out := Observation{Leader: g.led}
-	for _, m := range g.members {
-		out.Upstreams = append(out.Upstreams, UpstreamView{ID: m.id, StartedAt: m.entry.Born, Leaving: m.entry.Leaving, Ejected: m.barred})
-		if out.Term.Less(m.mark.Term) {
-			out.Term = m.mark.Term
+	now := g.registry.Now()
+	out := Observation{Leader: g.lastLeader}
+	for _, u := range g.upstreams {
+		out.Upstreams = append(out.Upstreams, UpstreamView{ID: u.id, StartedAt: u.entry.Born, Leaving: u.entry.Leaving, Ejected: u.ejected})
+		if out.Term.Less(u.mark.Term) {
+			out.Term = u.mark.Term
 		}
 	}
-	out.Upstreams, out.MinReceived = g.missing(out.Upstreams, now)
-	out.Isolated = g.present() == nil && g.blind()
+	out.Upstreams, out.MinReceived = g.appendAbsent(out.Upstreams, now)
+	out.Isolated = g.reachableLeaderLocked() == nil && g.isIsolated()
 	if g.leader != nil {
 		out.Leader = g.leader.entry.ID
-		out.LeaderAnswers = !g.leader.barred
-		out.CommitStalled = g.stuck(g.leader, now)
-		out.Failing = g.leader.faults.many(now)
-		out.LeaderOverloaded = g.alone(now)
+		out.LeaderAnswers = !g.leader.ejected
+		out.CommitStalled = g.isCommitStalled(g.leader, now)
+		out.Failing = g.leader.failures.isHigh(now)
+		out.LeaderOverloaded = g.leaderOverloaded(now)
 	}
 	return out
 }
 
-// stuck reports whether a member has left a write unanswered for too long and
-// none was answered since that one was sent. The caller has the lock.
-func (g *Group) stuck(m *member, now time.Time) bool {
-	if !m.starved.IsZero() && m.wrote.Before(m.starved) && now.Sub(m.starved) < starvedFor {
+// isCommitStalled reports whether an upstream has left a write unanswered for too long and
+// has acknowledged none since that one was sent. The caller must hold g.mu.
+func (g *Group) isCommitStalled(u *upstream, now time.Time) bool {
+	if !u.writeTimedOutAt.IsZero() && u.wroteAt.Before(u.writeTimedOutAt) && now.Sub(u.writeTimedOutAt) < commitStallHold {
 		return true
 	}
-	for r := range m.running {
-		if r.harmful && !r.started.IsZero() && now.Sub(r.started) > stuckAfter && m.wrote.Before(r.started) {
+	for r := range u.running {
+		if r.inDoubtIfLost && !r.exchangeStartedAt.IsZero() && now.Sub(r.exchangeStartedAt) > commitStallThreshold && u.wroteAt.Before(r.exchangeStartedAt) {
 			return true
 		}
 	}
@@ -99,36 +99,36 @@
 
 // Control sends a control command to an upstream on a pooled connection.
 func (g *Group) Control(id string, deadline time.Time, cmd Command) (Report, error) {
-	m := g.member(id)
-	if m == nil {
-		return g.controlLost(id, deadline, cmd)
+	u := g.findUpstream(id)
+	if u == nil {
+		return g.controlAbsent(id, deadline, cmd)
 	}
-	c, err := m.connection(deadline)
+	c, err := u.getConn(deadline)
 	if err != nil {
-		g.refused(m, err)
+		g.handleOpenError(u, err)
 		return Report{}, err
 	}
 	r := &run{conn: c}
-	g.begin(m, r)
-	defer g.end(m, r)
-	answers, _, err := g.exchange(m, r, deadline, cmd)
+	g.addRun(u, r)
+	defer g.removeRun(u, r)
+	answers, _, err := g.exchange(u, r, deadline, cmd)
 	if err != nil {
-		g.release(m, c, false)
+		g.release(u, c, false)
 		return Report{}, err
 	}
-	g.release(m, c, answers[0].State == Idle)
+	g.release(u, c, answers[0].State == Idle)
 	if answers[0].Code != OK {
 		return Report{}, errors.Wrapf(ErrRefused, "%s: %s", answers[0].Code, answers[0].Text)
 	}
 	return answers[0].Report, nil
 }
 
-func (g *Group) member(id string) *member {
+func (g *Group) findUpstream(id string) *upstream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, m := range g.members {
-		if m.id == id {
-			return m
+	for _, u := range g.upstreams {
+		if u.id == id {
+			return u
 		}
 	}
 	return nil
--- a/carrier/opener.go
+++ b/carrier/opener.go
@@ -8,24 +8,26 @@
 
 // Bounds of opening connections to one upstream.
 const (
-	// openings is how many connections this process opens at a time. A handshake
-	// takes some 20 ms in one of an upstream's few slots; with two each, the
-	// processes that share it take its slots for two rounds at the most.
-	// If all ask for their whole share at once after a change of leader, opening times
-	// out, and the new leader is barred and freed by turns.
-	openings = 2
-	// firstRefusal and longestRefusal bound how long no connection is asked of an
-	// upstream that had no room. Those of a process that lost power count for 3 s
-	// more; asked for by each statement, they are refused hundreds of times a second.
-	firstRefusal   = 150 * time.Millisecond
-	longestRefusal = 600 * time.Millisecond
-	// usualOpening is how long opening one is assumed to take before the first has been
-	// opened.
-	usualOpening = 20 * time.Millisecond
+	// maxConcurrentOpenings is how many connections this process opens at a time. A
+	// handshake takes some 20 ms in one of an upstream's few slots; with two each, the
+	// processes that share the upstream take its slots for two rounds at most. If all
+	// processes opened their whole share at once after a change of leader, the handshakes
+	// would time out and the new leader would be ejected and restored by turns.
+	maxConcurrentOpenings = 2
+	// minRefusalDelay and maxRefusalDelay bound how long no connection is requested of an
+	// upstream that refused one at its connection limit. The connections of a process that
+	// lost power count for 3 s more; if each statement requested a connection, the upstream
+	// would refuse hundreds a second.
+	minRefusalDelay = 150 * time.Millisecond
+	maxRefusalDelay = 600 * time.Millisecond
+	// defaultOpeningTime is how long opening a connection is assumed to take before the
+	// first has been opened.
+	defaultOpeningTime = 20 * time.Millisecond
 )
 
-// opener spreads the opening of connections to one upstream: a few at a time, and
-// none for a while after the upstream had no room. It is safe for concurrent use.
+// opener limits the rate of opening connections to one upstream: a few at a time, and none
+// for a while after the upstream refused one at its connection limit. It is safe for
+// concurrent use.
 type opener struct {
 	// permit lets the pool open one connection, and reports whether it does.
 	permit func() bool
@@ -33,95 +35,95 @@
 	// after calls a function later.
 	after func(d time.Duration, f func())
 
-	mu      sync.Mutex
-	wanted  int // asked for and not permitted yet
-	running int
-	pause   time.Duration
-	until   time.Time // no connection is opened before
-	waking  bool
-	mean    time.Duration // moving mean of how long opening one takes; zero before the first
+	mu            sync.Mutex
+	wanted        int // requested and not permitted yet
+	inProgress    int
+	refusalDelay  time.Duration
+	blockedUntil  time.Time // no connection is opened before this time
+	wakeScheduled bool
+	meanTime      time.Duration // moving mean of the time to open one; zero before the first
 }
 
-// want asks for one connection. It is the pool's Pace.
-func (o *opener) want() {
+// request requests one connection. It is the pool's RequestPermit function.
+func (o *opener) request() {
 	o.mu.Lock()
 	o.wanted++
 	o.mu.Unlock()
-	o.grant()
+	o.grantPermits()
 }
 
-// opened takes in that opening one connection has ended.
-func (o *opener) opened(refused bool) {
+// recordEnd records that opening one connection has ended.
+func (o *opener) recordEnd(refused bool) {
 	o.mu.Lock()
-	o.running--
+	o.inProgress--
 	if refused {
-		o.pause = min(max(2*o.pause, firstRefusal), longestRefusal)
-		o.until = o.now().Add(o.pause)
+		o.refusalDelay = min(max(2*o.refusalDelay, minRefusalDelay), maxRefusalDelay)
+		o.blockedUntil = o.now().Add(o.refusalDelay)
 	} else {
-		o.pause = 0
+		o.refusalDelay = 0
 	}
 	o.mu.Unlock()
-	o.grant()
+	o.grantPermits()
 }
 
-// took takes in how long opening a connection has taken.
-func (o *opener) took(d time.Duration) {
+// recordTime records how long opening a connection has taken.
+func (o *opener) recordTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.mean == 0 {
-		o.mean = d
+	if o.meanTime == 0 {
+		o.meanTime = d
 	}
-	o.mean += time.Duration(smoothing * float64(d-o.mean))
+	o.meanTime += time.Duration(latencySmoothing * float64(d-o.meanTime))
 }
 
-// expected returns how long opening a connection will take.
-func (o *opener) expected() time.Duration {
+// expectedTime returns the expected time to open a connection.
+func (o *opener) expectedTime() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return cmp.Or(o.mean, usualOpening)
+	return cmp.Or(o.meanTime, defaultOpeningTime)
 }
 
-// refused reports whether the upstream had no room a moment ago.
-func (o *opener) refused() bool {
+// isBlocked reports whether the upstream refused a connection at its limit a moment ago.
+func (o *opener) isBlocked() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.now().Before(o.until)
+	return o.now().Before(o.blockedUntil)
 }
 
-// grant permits what may be opened now.
-func (o *opener) grant() {
-	for o.take() {
+// grantPermits permits as many connections as may be opened now.
+func (o *opener) grantPermits() {
+	for o.tryStart() {
 		if !o.permit() {
 			o.mu.Lock()
-			o.running-- // nobody needs it any more
+			o.inProgress-- // nobody needs it any more
 			o.mu.Unlock()
 		}
 	}
 }
 
-// take reports whether one connection may be opened now. While none may, it sees
-// to being called again.
-func (o *opener) take() bool {
+// tryStart reports whether one connection may be opened now. If the upstream is blocked, it
+// schedules a wake-up.
+func (o *opener) tryStart() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.wanted == 0 || o.running >= openings {
+	if o.wanted == 0 || o.inProgress >= maxConcurrentOpenings {
 		return false
 	}
-	if left := o.until.Sub(o.now()); left > 0 {
-		if !o.waking {
-			o.waking = true
+	if left := o.blockedUntil.Sub(o.now()); left > 0 {
+		if !o.wakeScheduled {
+			o.wakeScheduled = true
 			o.after(left, o.wake)
 		}
 		return false
 	}
 	o.wanted--
-	o.running++
+	o.inProgress++
 	return true
 }
 
 func (o *opener) wake() {
 	o.mu.Lock()
-	o.waking = false
+	o.wakeScheduled = false
 	o.mu.Unlock()
-	o.grant()
+	o.grantPermits()
 }
--- a/carrier/opener_test.go
+++ b/carrier/opener_test.go
@@ -7,86 +7,85 @@
 	"github.com/matryer/is"
 )
 
-// pacedUpstream is an opener with a clock of its own and a count of what it permitted.
+// pacedUpstream is an opener with a fake clock and a count of its permits.
 type pacedUpstream struct {
 	opener
-	at      time.Time
-	permits int
-	later   []func()
+	clock     time.Time
+	permits   int
+	scheduled []func()
 }
 
-func paced() *pacedUpstream {
-	p := &pacedUpstream{at: time.Unix(1000, 0)}
-	p.now = func() time.Time { return p.at }
-	p.after = func(_ time.Duration, f func()) { p.later = append(p.later, f) }
+func newPacedUpstream() *pacedUpstream {
+	p := &pacedUpstream{clock: time.Unix(1000, 0)}
+	p.now = func() time.Time { return p.clock }
+	p.after = func(_ time.Duration, f func()) { p.scheduled = append(p.scheduled, f) }
 	p.permit = func() bool { p.permits++; return true }
 	return p
 }
 
-func (p *pacedUpstream) pass(d time.Duration) {
-	p.at = p.at.Add(d)
-	due := p.later
-	p.later = nil
+func (p *pacedUpstream) advance(d time.Duration) {
+	p.clock = p.clock.Add(d)
+	due := p.scheduled
+	p.scheduled = nil
 	for _, f := range due {
 		f()
 	}
 }
 
-// Symptom: for seconds after a change of leader the new one is barred and freed by
-// turns. Sequence: all statements of a group
-// move to the new leader, and each process opens all its connections there at
-// once. Cause: handshakes fill the upstream's slots and its queue of new
-// connections, so that opening one times out.
+// Guards against a new leader that is ejected and restored by turns for seconds after a
+// change of leader. All statements of a group move to the new leader, and each process
+// opens all its connections there at once. The handshakes fill the upstream's slots and its
+// queue of new connections, so that opening one times out.
 func TestConnectionsAreOpenedAFewAtATime(t *testing.T) {
 	is := is.New(t)
-	p := paced()
+	p := newPacedUpstream()
 	for range 8 {
-		p.want()
+		p.request()
 	}
-	is.Equal(p.permits, openings)
-	p.opened(false)
-	is.Equal(p.permits, openings+1)
+	is.Equal(p.permits, maxConcurrentOpenings)
+	p.recordEnd(false)
+	is.Equal(p.permits, maxConcurrentOpenings+1)
 }
 
-// Symptom: after a loss of power everywhere the upstreams refuse thousands of
-// connections, and each attempt is paid for. Sequence: connections of the processes
-// that lost power still count; each statement asks for another one. Cause: a
-// refusal held back only the pool's limit, not the next attempt.
-func TestARefusalHoldsTheNextAttemptBack(t *testing.T) {
+// Guards against thousands of refused connections, each of which costs an attempt, after a
+// power failure of the whole fleet. The connections of the processes that lost power still
+// count, and each statement requests another one. A refusal must delay the next attempt,
+// not only lower the pool's limit.
+func TestRefusalDelaysNextAttempt(t *testing.T) {
 	is := is.New(t)
-	p := paced()
-	p.want()
-	p.opened(true)
+	p := newPacedUpstream()
+	p.request()
+	p.recordEnd(true)
 	for range 50 {
-		p.want()
+		p.request()
 	}
 	is.Equal(p.permits, 1)
-	is.True(p.refused())
-	p.pass(firstRefusal)
-	is.Equal(p.permits, 1+openings)
-	p.opened(true)
-	p.opened(true)
-	p.pass(firstRefusal)
-	is.Equal(p.permits, 1+openings) // it waits longer each time
-	p.pass(longestRefusal)
-	is.Equal(p.permits, 1+2*openings)
-	p.opened(false)
-	is.True(!p.refused())
+	is.True(p.isBlocked())
+	p.advance(minRefusalDelay)
+	is.Equal(p.permits, 1+maxConcurrentOpenings)
+	p.recordEnd(true)
+	p.recordEnd(true)
+	p.advance(minRefusalDelay)
+	is.Equal(p.permits, 1+maxConcurrentOpenings) // the delay grows each time
+	p.advance(maxRefusalDelay)
+	is.Equal(p.permits, 1+2*maxConcurrentOpenings)
+	p.recordEnd(false)
+	is.True(!p.isBlocked())
 }
 
-// Symptom: no connection is opened any more. Sequence: those who waited for one
-// have got another meanwhile, so the permits are lost. Cause: lost permits count as
-// connections under way for ever.
-func TestLostPermitsAreGivenAnew(t *testing.T) {
+// Guards against a state in which no connection is ever opened again: those that waited for
+// one have got another meanwhile, so that the permits are not used. Unused permits must not
+// count as openings in progress.
+func TestUnusedPermitsAreReleased(t *testing.T) {
 	is := is.New(t)
-	p := paced()
+	p := newPacedUpstream()
 	needed := false
 	p.permit = func() bool { p.permits++; return needed }
 	for range 5 {
-		p.want()
+		p.request()
 	}
 	is.Equal(p.permits, 5)
 	needed = true
-	p.want()
+	p.request()
 	is.Equal(p.permits, 6)
 }
--- a/carrier/outlook_test.go
+++ b/carrier/outlook_test.go
@@ -11,40 +11,40 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// leaderless returns a group of three whose leader, a, has been lost for some time.
-func leaderless(lost time.Duration) *Group {
+// newLeaderlessGroup returns a group of three whose leader, a, has been lost for some time.
+func newLeaderlessGroup(lost time.Duration) *Group {
 	c := &Registry{Now: time.Now, Log: zap.NewNop()}
-	c.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1), startedAt("c", 1)})
+	c.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1), upstreamStartedAt("c", 1)})
 	g, _ := c.Group("g")
-	g.led, g.leaderless = "a", time.Now().Add(-lost)
-	for _, m := range g.members {
-		m.asked = true // nobody can be asked in this test
+	g.lastLeader, g.leaderlessSince = "a", time.Now().Add(-lost)
+	for _, u := range g.upstreams {
+		u.checkingLeader = true // no upstream can be asked in this test
 	}
 	return g
 }
 
-// Symptom: callers are held for the whole of their statement's time and then refused.
-// Sequence: a partition leaves the leader and this process on one side, both replicas on
-// the other, for seconds. Cause: who has no leader waits for the next one, also where
-// that can't be reached from here.
-func TestAStatementThatNoNextLeaderCanTakeIsRefusedAtOnce(t *testing.T) {
+// Guards against holding callers for the whole time of their statement and then refusing
+// them. For some seconds a partition separates the leader and this process from both
+// replicas. A statement must not wait for the next leader where that cannot be reached from
+// here.
+func TestStatementIsRefusedAtOnceWhenNoLeaderIsExpected(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		barred []int
 		lost   time.Duration
 		held   time.Duration
 	}{
-		{"both others are out of reach", []int{1, 2}, time.Second, 0},
-		{"and so is the last leader", []int{0, 1, 2}, time.Second, 0},
-		{"one of them answers, and may lead next", []int{0, 1}, time.Second, 800 * time.Millisecond},
-		{"both answer, and none leads for long", []int{0}, 5 * time.Second, 0},
+		{"both replicas are ejected", []int{1, 2}, time.Second, 0},
+		{"all three are ejected", []int{0, 1, 2}, time.Second, 0},
+		{"one replica answers and may lead next", []int{0, 1}, time.Second, 800 * time.Millisecond},
+		{"both replicas answer and none has led for long", []int{0}, 5 * time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g := leaderless(test.lost)
+				g := newLeaderlessGroup(test.lost)
 				for _, i := range test.barred {
-					g.members[i].barred = true
+					g.upstreams[i].ejected = true
 				}
 				began := time.Now()
 				answer := g.Run(&Job{Writes: true, Deadline: began.Add(800 * time.Millisecond), Arrived: began}, Command{Verb: Write})
@@ -55,18 +55,18 @@
 	}
 }
 
-// A write isn't sent to a leader that acknowledges nothing while nobody else can be
-// reached: it would end in doubt, where one that isn't sent can be tried elsewhere.
-// Reads still run there.
-func TestAWriteIsNotSentToALeaderThatIsCutOff(t *testing.T) {
+// A write is not sent to a leader that acknowledges nothing while no other upstream can be
+// reached: it would end in doubt, and one that was not sent can be retried elsewhere. Reads
+// still run there.
+func TestWriteIsNotSentToStalledLeader(t *testing.T) {
 	is := is.New(t)
-	g := leaderless(0)
+	g := newLeaderlessGroup(0)
 	now := time.Now()
-	g.leader, g.leaderless = g.members[0], time.Time{}
-	g.members[0].starved = now
-	is.True(!g.starves(&Job{Writes: true})) // a replica may confirm it
-	g.members[1].barred, g.members[2].barred = true, true
-	is.True(g.starves(&Job{Writes: true}))
-	is.True(!g.starves(&Job{}))
+	g.leader, g.leaderlessSince = g.upstreams[0], time.Time{}
+	g.upstreams[0].writeTimedOutAt = now
+	is.True(!g.wouldStall(&Job{Writes: true})) // a replica may confirm it
+	g.upstreams[1].ejected, g.upstreams[2].ejected = true, true
+	is.True(g.wouldStall(&Job{Writes: true}))
+	is.True(!g.wouldStall(&Job{}))
 	is.True(g.Observe().CommitStalled)
 }
--- a/carrier/place.go
+++ b/carrier/place.go
@@ -9,57 +9,57 @@
 	"basildale.example/basildale/tracker"
 )
 
-// place finds a member for a job, and the mark that its log must contain. It
-// waits for a leader or a sample as long as that can help.
-func (g *Group) place(j *Job) (*member, tracker.Mark, Answer) {
+// place finds an upstream for a job, and the mark that its log must contain. It waits for a
+// leader or a sample as long as that can help.
+func (g *Group) place(j *Job) (*upstream, tracker.Mark, Answer) {
 	for {
-		since, waiting, ok := g.floor(j)
+		since, waiting, ok := g.requiredMark(j)
 		if !ok {
-			if g.unsampled(j) {
+			if g.shouldSampleElsewhere(j) {
 				return nil, since, refusal(Unavailable, "no sample of the leader's log")
 			}
-			if g.vain(j) || !wait(j, waiting) {
-				return nil, since, g.unplaced(j, placer.NoLeader)
+			if g.isUnservable(j) || !waitForChange(j, waiting) {
+				return nil, since, g.refuse(j, placer.NoLeader)
 			}
 			continue
 		}
-		m, reason, changed := g.choose(placer.Need{LeaderOnly: j.RequiresLeader(), MinMark: since}, j.Workspace, j.tried)
-		if m != nil && g.starves(j) {
-			m, reason = nil, placer.CommitStalled
+		u, reason, changed := g.choose(placer.Need{LeaderOnly: j.RequiresLeader(), MinMark: since}, j.Workspace, j.tried)
+		if u != nil && g.wouldStall(j) {
+			u, reason = nil, placer.CommitStalled
 		}
-		if m != nil {
-			return m, since, Answer{}
+		if u != nil {
+			return u, since, Answer{}
 		}
 		if j.CanForward != nil && j.CanForward() {
 			return nil, since, refusal(Unavailable, string(reason))
 		}
-		if reason == placer.LeaderDrained || g.vain(j) || !wait(j, changed) {
-			return nil, since, g.unplaced(j, reason)
+		if reason == placer.LeaderDrained || g.isUnservable(j) || !waitForChange(j, changed) {
+			return nil, since, g.refuse(j, reason)
 		}
 	}
 }
 
-// unsampled reports whether a job that lacks a sample is better carried elsewhere:
-// there is no leader here to ask for one.
-func (g *Group) unsampled(j *Job) bool {
-	return g.leads() == nil && j.CanForward != nil && j.CanForward()
+// shouldSampleElsewhere reports whether a job that lacks a sample should run on another
+// process: this one has no leader to request a sample from.
+func (g *Group) shouldSampleElsewhere(j *Job) bool {
+	return g.reachableLeader() == nil && j.CanForward != nil && j.CanForward()
 }
 
-// floor returns the mark that a read needs. When no sample is fresh enough, it
-// returns a channel to wait on for a newer one.
-func (g *Group) floor(j *Job) (tracker.Mark, <-chan struct{}, bool) {
+// requiredMark returns the mark that a read needs. When no sample is fresh enough, it
+// returns a channel that signals a newer one.
+func (g *Group) requiredMark(j *Job) (tracker.Mark, <-chan struct{}, bool) {
 	if j.RequiresLeader() {
 		return tracker.Mark{}, nil, true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ages.add(j.MaxAge)
-	mark, ok := g.samples.since(j.Arrived.Add(margin - j.MaxAge))
+	mark, ok := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxAge))
 	newest, _ := g.samples.last()
 	var waiting <-chan struct{}
-	g.samples.spacing = g.ages.spacing()
-	if !ok || g.carrier.Now().Sub(newest.asked) > j.MaxAge/ageing {
-		waiting = g.refresh()
+	g.samples.interval = g.ages.interval()
+	if !ok || g.registry.Now().Sub(newest.requestedAt) > j.MaxAge/resampleDivisor {
+		waiting = g.refreshSample()
 	}
 	if !ok {
 		if waiting == nil {
@@ -73,8 +73,8 @@
 	return mark, nil, true
 }
 
-// wait waits for a change, and reports whether there is time left after it.
-func wait(j *Job, changed <-chan struct{}) bool {
+// waitForChange waits for a change, and reports whether there is time left after it.
+func waitForChange(j *Job, changed <-chan struct{}) bool {
 	left := time.Until(j.Deadline)
 	if left <= 0 {
 		return false
@@ -91,31 +91,31 @@
 	}
 }
 
-// pause lets some time pass, and reports whether there is time left after it.
+// pause waits for a duration, and reports whether there is time left after it.
 func pause(j *Job, d time.Duration) bool {
 	passed := make(chan struct{})
 	timer := time.AfterFunc(d, func() { close(passed) })
 	defer timer.Stop()
-	return wait(j, passed)
+	return waitForChange(j, passed)
 }
 
-// starves reports whether a job would be sent to a leader that can't do it.
-func (g *Group) starves(j *Job) bool {
+// wouldStall does the same as wouldStallLocked and takes the lock.
+func (g *Group) wouldStall(j *Job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.futile(j, g.carrier.Now())
+	return g.wouldStallLocked(j, g.registry.Now())
 }
 
-// vain reports whether a job can't be served here, however long it waits.
-func (g *Group) vain(j *Job) bool {
+// isUnservable reports whether a job cannot be served here, however long it waits.
+func (g *Group) isUnservable(j *Job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	return g.hopeless(now) || g.futile(j, now)
+	now := g.registry.Now()
+	return g.isLeaderUnlikely(now) || g.wouldStallLocked(j, now)
 }
 
-func (g *Group) unplaced(j *Job, reason placer.Reason) Answer {
+func (g *Group) refuse(j *Job, reason placer.Reason) Answer {
 	g.log().Info("carrier: statement refused", zap.String("request", j.Request), zap.String("group", g.name),
 		zap.String("reason", string(reason)), zap.Bool("latest", j.RequiresLeader()))
-	return refusal(Busy, string(reason)+"; come back in "+comeBack.String())
+	return refusal(Busy, string(reason)+"; come back in "+retryAfter.String())
 }
--- a/carrier/restart_test.go
+++ b/carrier/restart_test.go
@@ -11,96 +11,96 @@
 	"basildale.example/basildale/cataloger"
 )
 
-func startedAt(id string, ms int64) cataloger.Upstream {
+func upstreamStartedAt(id string, ms int64) cataloger.Upstream {
 	return cataloger.Upstream{
 		ID: id, Group: "g", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(id[0])),
 		Slots: 3, Born: time.UnixMilli(ms),
 	}
 }
 
-// restarting returns a group of two, the first of which is known well, and sets its
-// clock by the returned function.
-func restarting() (*Group, func(time.Time)) {
+// newRestartGroup returns a group of two, with much known of the first, and a function that
+// sets its clock.
+func newRestartGroup() (*Group, func(time.Time)) {
 	now := time.Unix(1000, 0)
 	c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
-	c.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1)})
+	c.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
 	g, _ := c.Group("g")
-	m := g.members[0]
-	m.mark = mark(1, 90)
-	m.lag.refused(now, now.Add(-time.Second))
-	m.observe(now, time.Second)
+	u := g.upstreams[0]
+	u.mark = mark(1, 90)
+	u.lag.recordRefused(now, now.Add(-time.Second))
+	u.recordLatency(now, time.Second)
 	g.samples.add(now, mark(1, 100))
 	return g, func(at time.Time) { now = at }
 }
 
-// Symptom: reads go to an upstream whose log is empty, with names of prepared
-// statements that it never heard of. Sequence: it crashes and starts again under its
-// id, at once or after its entry has gone. Cause: what was known of its former start
-// counts on.
-func TestAnUpstreamThatStartsAgainIsNew(t *testing.T) {
+// Guards against reads at an upstream whose log is empty, with names of prepared statements
+// that it does not have. It crashes and restarts under its id, at once or after its entry
+// has lapsed. What was known of its former start must be dropped.
+func TestRestartedUpstreamIsNew(t *testing.T) {
 	is := is.New(t)
 	for _, unlisted := range []bool{false, true} {
-		g, _ := restarting()
-		old := g.members[0]
+		g, _ := newRestartGroup()
+		old := g.upstreams[0]
 		if unlisted {
-			g.carrier.Apply([]cataloger.Upstream{startedAt("b", 1)})
+			g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("b", 1)})
 		}
-		g.carrier.Apply([]cataloger.Upstream{startedAt("a", 2), startedAt("b", 1)})
-		m := g.members[0]
-		is.Equal(m.id, "a")
-		is.True(m != old)
-		is.True(old.gone)
-		is.True(m.mark.IsZero())
-		is.Equal(m.lag, lag{})
-		is.True(m.measured.IsZero())
-		is.Equal(len(g.lost), 0)
+		g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+		u := g.upstreams[0]
+		is.Equal(u.id, "a")
+		is.True(u != old)
+		is.True(old.removed)
+		is.True(u.mark.IsZero())
+		is.Equal(u.lag, lag{})
+		is.True(u.latencyUpdatedAt.IsZero())
+		is.Equal(len(g.absent), 0)
 	}
 }
 
-// Symptom: a change of leader never ends. Sequence: a replica that was halted is cut off
-// from the store, so that its entry lapses. Cause: an upstream that isn't listed was
-// told of without its start, and what it had reported was dropped as that of a former one.
-func TestAnEntryThatLapsesIsNoNewStart(t *testing.T) {
+// Guards against a change of leader that never ends. A replica with suspended replication
+// is partitioned from the store, so that its entry lapses. An upstream that is not listed
+// was passed on without its start time, and its reports were dropped as those of a former
+// start.
+func TestLapsedEntryKeepsStartTime(t *testing.T) {
 	is := is.New(t)
-	g, _ := restarting()
-	g.carrier.Apply([]cataloger.Upstream{startedAt("b", 1)})
-	for _, m := range g.Observe().Upstreams {
-		is.True(m.StartedAt.Equal(time.UnixMilli(1)))
+	g, _ := newRestartGroup()
+	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("b", 1)})
+	for _, u := range g.Observe().Upstreams {
+		is.True(u.StartedAt.Equal(time.UnixMilli(1)))
 	}
 }
 
-// News of the former start that arrive late change nothing, nor does an entry that
-// doesn't say when the upstream started.
-func TestLateNewsOfAFormerStart(t *testing.T) {
+// A late update about the former start changes nothing, nor does an entry without a start
+// time.
+func TestLateUpdateOfFormerStartIsIgnored(t *testing.T) {
 	is := is.New(t)
-	g, _ := restarting()
-	g.carrier.Apply([]cataloger.Upstream{startedAt("a", 2), startedAt("b", 1)})
-	m := g.members[0]
-	g.carrier.Apply([]cataloger.Upstream{startedAt("a", 1), startedAt("b", 1)})
-	is.True(g.members[0] == m)
-	g.carrier.Apply([]cataloger.Upstream{{ID: "a", Group: "g"}, startedAt("b", 1)})
-	is.True(g.members[0] == m)
-	g.carrier.Apply([]cataloger.Upstream{startedAt("a", 2), startedAt("b", 1)})
-	is.True(g.members[0] == m) // and it hasn't started once more
+	g, _ := newRestartGroup()
+	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	u := g.upstreams[0]
+	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
+	is.True(g.upstreams[0] == u)
+	g.registry.Apply([]cataloger.Upstream{{ID: "a", Group: "g"}, upstreamStartedAt("b", 1)})
+	is.True(g.upstreams[0] == u)
+	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	is.True(g.upstreams[0] == u) // and it has not restarted once more
 }
 
-// Symptom: acknowledged bookings are missing after a change of leader. Sequence: the
-// replica that confirmed them starts again and has lost its log; the leader dies before
-// it has sent them anew; the other replica, which lacks them, is promoted. Cause: with
-// both replicas halted the furthest was taken for complete.
-func TestANewLeaderHasWhatARestartedReplicaConfirmed(t *testing.T) {
+// Guards against the loss of acknowledged bookings in a change of leader. The replica that
+// confirmed them restarts and has lost its log; the leader dies before it has sent them
+// again; the other replica, which lacks them, is promoted. With replication of both
+// replicas suspended, the one that had received most was taken to be complete.
+func TestNewLeaderHasWhatRestartedReplicaConfirmed(t *testing.T) {
 	is := is.New(t)
-	g, setNow := restarting()
+	g, setNow := newRestartGroup()
 	is.True(g.Observe().MinReceived.IsZero())
-	g.carrier.Apply([]cataloger.Upstream{startedAt("a", 2), startedAt("b", 1)})
-	is.Equal(g.Observe().MinReceived, mark(1, 100)) // the newest that is known of the leader
+	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	is.Equal(g.Observe().MinReceived, mark(1, 100)) // the newest known position of the leader
 
-	// The first position that the leader tells after the restart covers all of it.
+	// The first position that the leader states after the restart covers all of it.
 	later := time.Unix(1001, 0)
 	setNow(later)
-	g.proved(g.members[1], later, mark(1, 120))
+	g.recordLeader(g.upstreams[1], later, mark(1, 120))
 	is.Equal(g.Observe().MinReceived, mark(1, 120))
 	setNow(later.Add(time.Second))
-	g.proved(g.members[1], later.Add(time.Second), mark(1, 200))
-	is.Equal(g.Observe().MinReceived, mark(1, 120)) // what came later is confirmed by live copies
+	g.recordLeader(g.upstreams[1], later.Add(time.Second), mark(1, 200))
+	is.Equal(g.Observe().MinReceived, mark(1, 120)) // what came later is confirmed by copies that still exist
 }
--- a/carrier/runner.go
+++ b/carrier/runner.go
@@ -2,19 +2,19 @@
 
 import "basildale.example/basildale/tracker"
 
-// Runner runs the statements of one group: a Group does, and so does whatever
+// Runner runs the statements of one group. A Group implements it, and so does a type that
 // has them run by another process.
 type Runner interface {
-	// Run carries one statement outside of a transaction.
+	// Run runs one statement outside of a transaction.
 	Run(j *Job, cmd Command) Answer
-	// Start begins a transaction with its first statement. The transaction is nil
-	// unless the answer is OK.
+	// Start begins a transaction with its first statement. The transaction is nil unless
+	// the answer is OK.
 	Start(j *Job, readOnly bool, cmd Command) (Transaction, Answer)
 	// CommitEmpty commits a transaction without statements.
 	CommitEmpty(j *Job, readOnly bool, cmd Command) Answer
 }
 
-// Transaction is an open transaction. It belongs to one goroutine.
+// Transaction is an open transaction. It must be used by one goroutine.
 type Transaction interface {
 	Do(j *Job, cmd Command) Answer
 	Commit(j *Job, cmd Command) Answer
@@ -25,44 +25,44 @@
 func (g *Group) HasUpstreams() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.members) > 0
+	return len(g.upstreams) > 0
 }
 
-// IsGateway reports whether this process has connections to the group's upstreams.
-func (g *Group) IsGateway() bool { return g.carrier.share(g.name) > 0 }
+// IsGateway reports whether this process may have connections to the group's upstreams.
+func (g *Group) IsGateway() bool { return g.registry.share(g.name) > 0 }
 
-// CanServe reports whether this process can carry a job at once, as far as it
-// knows: what must see everything needs a leader that answers and acknowledges
-// writes, the rest an upstream and a sample that is young enough or can be had.
+// CanServe reports whether this process can run a job at once, as far as it knows. A job
+// that requires the leader needs one that answers and, for writes, acknowledges them; other
+// jobs need an upstream, and a sample that is fresh enough or can be requested.
 func (g *Group) CanServe(j *Job) bool {
 	if !g.IsGateway() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.carrier.Now()
-	leads := g.present() != nil
+	now := g.registry.Now()
+	leads := g.reachableLeaderLocked() != nil
 	if j.RequiresLeader() {
-		return leads && !g.leader.closed(now) && !g.leader.full() && (!j.Writes || !g.stuck(g.leader, now))
+		return leads && !g.leader.drained(now) && !g.leader.isFull() && (!j.Writes || !g.isCommitStalled(g.leader, now))
 	}
-	_, fresh := g.samples.since(j.Arrived.Add(margin - j.MaxAge))
+	_, fresh := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxAge))
 	if !fresh && !leads {
 		return false
 	}
-	for _, m := range g.members {
-		if !m.barred && !m.closed(now) && !m.full() {
+	for _, u := range g.upstreams {
+		if !u.ejected && !u.drained(now) && !u.isFull() {
 			return true
 		}
 	}
 	return false
 }
 
-// SampleLeader returns a position of the leader's log that is asked for now.
+// SampleLeader returns a position of the leader's log that is requested now.
 func (g *Group) SampleLeader() (tracker.Mark, bool) {
 	g.mu.Lock()
 	leader := g.leader
 	g.mu.Unlock()
-	if leader == nil || !g.ask(leader) {
+	if leader == nil || !g.checkLeader(leader) {
 		return tracker.Mark{}, false
 	}
 	g.mu.Lock()
--- a/carrier/seek_test.go
+++ b/carrier/seek_test.go
@@ -12,27 +12,27 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// Symptom: after a planned change of leader some processes refuse writes for half a
-// second longer than others. Sequence: the former leader, which has more work than it can
-// do, has no connection free for the question whether it leads; the next one begins to
-// lead right after it was asked. Cause: nobody was asked again before all had answered.
-func TestASlowMemberDoesNotHoldUpTheSearchForTheLeader(t *testing.T) {
+// Guards against processes that refuse writes for half a second longer than others after a
+// planned change of leader. The overloaded former leader has no connection free to answer
+// whether it leads; the next one begins to lead right after it was asked. The others must
+// be asked again before the former leader has answered.
+func TestSlowUpstreamDoesNotDelayLeaderSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStuckGroup()
+		s := newLaggingGroup()
 		c := &Registry{Now: time.Now, Log: zap.NewNop()}
 		c.Dial = func(ctx context.Context, u cataloger.Upstream, workspace string) (Link, error) {
 			if u.ID == "a" {
-				<-ctx.Done() // no room for another connection
+				<-ctx.Done() // no slot for another connection
 				return nil, ErrHandshakeTimeout
 			}
 			return s.dial(ctx, u, workspace)
 		}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
-		c.Apply([]cataloger.Upstream{listedAt("a", 1), listedAt("b", 2), listedAt("c", 3)})
+		c.Apply([]cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)})
 		g, _ := c.Group("g")
-		g.members[0].answered = time.Now() // it lives
-		c.Tick()                           // all are asked, none leads yet
+		g.upstreams[0].answeredAt = time.Now() // it is alive
+		c.Tick()                               // all are asked, none leads yet
 		time.Sleep(10 * time.Millisecond)
 		s.promote()
 		led := time.Now()
--- a/carrier/share_test.go
+++ b/carrier/share_test.go
@@ -12,15 +12,16 @@
 	"basildale.example/basildale/limiter"
 )
 
-// Symptom: after a loss of power everywhere statements are refused a second after
-// they came, for want of a connection. Sequence: a process that starts has one
-// connection to each upstream; a statement has it, another one waits; the process
-// learns of its peers and has no share any more. Cause: who waits isn't told.
-func TestWhoWaitsAsTheShareEndsGoesElsewhere(t *testing.T) {
+// Guards against statements that are refused only a second after their arrival, for want of
+// a connection, after a power failure of the whole fleet. A starting process has one
+// connection to each upstream; one statement uses it and another one waits; then the
+// process learns of its peers and has no share any more. Statements that wait must be
+// refused at that point.
+func TestWaitingStatementsAreRefusedWhenShareEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		share := 1
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
 		settings := []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}}
 		c.DivideConnections(1, settings)
@@ -39,27 +40,27 @@
 		c.DivideConnections(2, settings)
 		is.Equal((<-answers).Code, Unavailable)
 		is.Equal(time.Since(began), 100*time.Millisecond)
-		is.Equal((<-answers).Code, OK) // what runs goes on
-		is.Equal(g.members[0].pool.Stats().Open, 0)
+		is.Equal((<-answers).Code, OK) // what is running continues
+		is.Equal(g.upstreams[0].pool.Stats().Open, 0)
 	})
 }
 
-// Symptom: a process is busy with one refused read for as long as the read's time
-// lasts. Sequence: the gates of two upstreams don't admit the read; the third
-// upstream leaves. Cause: the read is taken to have another upstream left, and is
-// placed at one that has refused it.
-func TestAReadIsntOfferedTwiceToAGateThatRefusedIt(t *testing.T) {
+// Guards against a process that is busy with one refused read until the read's deadline.
+// The gates of two upstreams reject the read, and the third upstream is leaving. The
+// leaving one must not count as an alternative, or the read is placed on an upstream that
+// has rejected it.
+func TestReadIsNotOfferedTwiceToSameGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		choices := 0
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), CountPlacement: func(string) { choices++ }}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g", Leaving: true}})
 		g, _ := c.Group("g")
-		for _, m := range g.members {
-			m.gate.Queue.InitialServiceTime = time.Minute // nothing can be in time
-			m.gate.Queue.Window = limiter.Window{Min: 1, Max: 1, Fixed: true}
+		for _, u := range g.upstreams {
+			u.gate.Queue.InitialServiceTime = time.Minute // nothing can be in time
+			u.gate.Queue.Window = limiter.Window{Min: 1, Max: 1, Fixed: true}
 		}
 		g.samples.add(time.Now(), mark(1, 1))
 		job := &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
--- a/carrier/start_test.go
+++ b/carrier/start_test.go
@@ -13,34 +13,35 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// startWith plays processes that start together before one upstream with six slots,
-// while callers come back at twice the rate that it can do for 1.5 s, and at half
-// that rate then. least, when set, is how many statements each may have there.
-func startWith(t *testing.T, carriers, least int) load {
+// runStartupLoad simulates processes that start together in front of one upstream with six
+// slots. Callers come back at 320 statements a second, twice what it can serve, for 1.5 s,
+// and at 100 a second after that. minWindow, when set, is how many statements each process
+// may always have there.
+func runStartupLoad(t *testing.T, processes, minWindow int) loadResult {
 	t.Helper()
 	const objective, timeout = 400 * time.Millisecond, time.Second
-	const high, usual, highFor, whole = 320, 100, 1500 * time.Millisecond, 4 * time.Second
+	const high, usual, highFor, duration = 320, 100, 1500 * time.Millisecond, 4 * time.Second
 	rng := rand.New(rand.NewPCG(5, 6))
-	var got load
+	var got loadResult
 	synctest.Test(t, func(*testing.T) {
 		var mu sync.Mutex
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		var groups []*Group
-		for range carriers {
-			g := before(s, false)
-			if least > 0 {
-				g.members[0].gate.Queue.Window.Min = least
+		for range processes {
+			g := newGatedGroup(s, false)
+			if minWindow > 0 {
+				g.upstreams[0].gate.Queue.Window.Min = minWindow
 			}
 			groups = append(groups, g)
 		}
 		var calls sync.WaitGroup
 		began := time.Now()
-		for time.Since(began) < whole {
+		for time.Since(began) < duration {
 			rate := float64(usual)
 			if time.Since(began) < highFor {
 				rate = high
 			}
-			g := groups[rng.IntN(carriers)]
+			g := groups[rng.IntN(processes)]
 			work := time.Duration((0.3 + 1.4*rng.Float64()) * float64(37*time.Millisecond))
 			cmd := Command{Verb: Read, ID: "r", Text: work.String()}
 			calls.Go(func() {
@@ -61,47 +62,46 @@
 	return got
 }
 
-// Symptom: after a loss of power everywhere most of what callers get for a second is
-// late, though as much could be in time as at any overload. Sequence: ten processes
-// start and have two statements each at an upstream with six slots, while callers come
-// back. Cause: what waits in the upstream is taken for work, since nothing shorter was
-// ever seen.
-func TestProcessesThatStartUnderOverloadServeWhatTheyCan(t *testing.T) {
+// Guards against late answers to most callers for a second after a power failure of the
+// whole fleet, though as many could be in time as under any overload. Ten processes start
+// and have two statements each at an upstream with six slots, while callers come back. The
+// processes take queueing in the upstream for work, since they never saw a shorter time.
+func TestStartupUnderOverloadServesCapacity(t *testing.T) {
 	is := is.New(t)
-	for _, test := range []struct{ carriers, least, share int }{
+	for _, test := range []struct{ processes, minWindow, share int }{
 		{3, 3, 16}, // of 49 connections
 		{10, 1, 4},
 		{20, 1, 2},
 	} {
-		is.Equal(part(6, test.share, 49), test.least)
-		got, two := startWith(t, test.carriers, test.least), startWith(t, test.carriers, 2)
-		t.Logf("%d processes: %+v; with two statements each: %+v", test.carriers, got, two)
-		is.True(got.inTime*100 >= 65*got.asked)
-		is.True(got.inTime >= two.inTime-10)
-		is.True(got.late*10 <= got.asked)
+		is.Equal(windowShare(6, test.share, 49), test.minWindow)
+		got, withTwo := runStartupLoad(t, test.processes, test.minWindow), runStartupLoad(t, test.processes, 2)
+		t.Logf("%d processes: %+v; with two statements each: %+v", test.processes, got, withTwo)
+		is.True(got.inTime*100 >= 65*got.requests)
+		is.True(got.inTime >= withTwo.inTime-10)
+		is.True(got.late*10 <= got.requests)
 	}
 }
 
-// A process has as large a part of the slots as of the connections, one statement at
-// least, and never more than its window may grow to.
-func TestPartsOfTheSlots(t *testing.T) {
+// A process gets the same proportion of the slots as of the connections, at least one
+// statement, and never more than its window may grow to.
+func TestWindowShare(t *testing.T) {
 	is := is.New(t)
-	is.Equal(part(0, 3, 30), leastWindow) // slots aren't known
-	is.Equal(part(5, 3, 30), 1)
-	is.Equal(part(6, 6, 49), 2)
-	is.Equal(part(6, 49, 49), 9)
-	is.Equal(part(64, 49, 49), mostWindow)
-	is.Equal(part(6, 1, 0), leastWindow)
+	is.Equal(windowShare(0, 3, 30), defaultMinWindow) // the number of slots is unknown
+	is.Equal(windowShare(5, 3, 30), 1)
+	is.Equal(windowShare(6, 6, 49), 2)
+	is.Equal(windowShare(6, 49, 49), 9)
+	is.Equal(windowShare(64, 49, 49), maxWindow)
+	is.Equal(windowShare(6, 1, 0), defaultMinWindow)
 }
 
-// Symptom: after a loss of power everywhere, while the store was away, two thirds of
-// the requests of two seconds are refused. Sequence: a process learns its
-// configuration and, half a second later, its upstreams; callers are refused at once
-// and have used up their tries by then. Cause: a group without upstreams isn't known.
-func TestAStatementWaitsForTheFirstUpstreams(t *testing.T) {
+// Guards against refusing two thirds of the requests for two seconds after a power failure
+// of the whole fleet with the store away. A process learns its configuration and, half a
+// second later, its upstreams. Callers that are refused at once because the group has no
+// upstreams have used up their retries by then.
+func TestStatementWaitsForFirstUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slots{free: make(chan struct{}, 6)}
+		s := &slotUpstream{free: make(chan struct{}, 6)}
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
 		g, known := c.Group("g")
--- a/carrier/tx.go
+++ b/carrier/tx.go
@@ -8,65 +8,64 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// Tx is a transaction of a caller's on one connection. It belongs to one
-// goroutine.
+// Tx is a caller's transaction on one connection. It must be used by one goroutine.
 type Tx struct {
-	g     *Group
-	m     *member
-	r     *run
-	wrote bool
-	state State
+	group    *Group
+	upstream *upstream
+	run      *run
+	wrote    bool
+	state    State
 }
 
-// Start begins a transaction and runs its first statement. A transaction whose
-// first statement didn't succeed for a reason that another attempt may mend is
-// begun anew elsewhere: the caller has seen nothing of it, and what it wrote is
-// rolled back. The transaction is nil when the answer isn't OK.
+// Start begins a transaction and runs its first statement. If that fails for a reason that
+// another attempt may avoid, the transaction is begun again on another upstream: the caller
+// has not seen a result, and what the transaction wrote is rolled back. The transaction is
+// nil when the answer is not OK.
 func (g *Group) Start(j *Job, readOnly bool, cmd Command) (Transaction, Answer) {
 	answer := refusal(Busy, "out of time")
-	for n := 0; n < attempts && time.Until(j.Deadline) > 0; n++ {
-		m, since, refused := g.place(j)
-		if m == nil {
+	for n := 0; n < maxAttempts && time.Until(j.Deadline) > 0; n++ {
+		u, since, refused := g.place(j)
+		if u == nil {
 			return nil, refused
 		}
 		begin := Command{Verb: Begin}
 		if readOnly && j.Freshness != cataloger.Latest {
 			begin = Command{Verb: BeginRead, Since: since}
 		}
-		ticket, late := g.enter(m, j)
+		ticket, rejection := g.admit(u, j)
 		if ticket == 0 {
-			answer = late
-			if g.other(m, j, since) {
+			answer = rejection
+			if g.hasAlternative(u, j, since) {
 				continue
 			}
 			return nil, answer
 		}
 		var tx *Tx
-		tx, answer = g.first(m, j, begin, cmd)
-		m.gate.Release(ticket, answer.Code == OK)
+		tx, answer = g.startTx(u, j, begin, cmd)
+		u.gate.Release(ticket, answer.Code == OK)
 		if tx != nil {
 			return tx, answer
 		}
-		if !g.again(m, j, answer) && answer.Code != Aborted {
+		if !g.shouldRetry(u, j, answer) && answer.Code != Aborted {
 			return nil, answer
 		}
 		if answer.Code == Overloaded && j.CanForward != nil && j.CanForward() {
 			return nil, refusal(Unavailable, answer.Text) // a peer may have connections there
 		}
 		if answer.Code == Overloaded || answer.Code == Busy {
-			n-- // nothing was run; the deadline bounds these
+			n-- // nothing was run; the deadline bounds these retries
 		}
-		g.log().Info("carrier: transaction begins again", zap.String("request", j.Request), zap.String("group", g.name),
-			zap.String("upstream", m.id), zap.Stringer("code", answer.Code), zap.String("cause", answer.Text), zap.Int("attempt", n+1))
+		g.log().Info("carrier: retrying transaction", zap.String("request", j.Request), zap.String("group", g.name),
+			zap.String("upstream", u.id), zap.Stringer("code", answer.Code), zap.String("cause", answer.Text), zap.Int("attempt", n+1))
 	}
 	return nil, answer
 }
 
-// first begins a transaction at a member and runs its first statement. What comes
-// after it isn't held back by the member's gate: the transaction has a connection,
-// and what it has done would be lost.
-func (g *Group) first(m *member, j *Job, begin, cmd Command) (*Tx, Answer) {
-	tx, answer := g.begun(m, j, begin)
+// startTx begins a transaction on an upstream and runs its first statement. The later
+// statements do not pass the upstream's gate: the transaction already has a connection, and
+// a refusal would lose what it has done.
+func (g *Group) startTx(u *upstream, j *Job, begin, cmd Command) (*Tx, Answer) {
+	tx, answer := g.beginTx(u, j, begin)
 	if tx == nil {
 		return nil, answer
 	}
@@ -78,75 +77,75 @@
 	return nil, answer
 }
 
-// begun begins a transaction at a member.
-func (g *Group) begun(m *member, j *Job, begin Command) (*Tx, Answer) {
-	r, refused := g.open(m, j)
+// beginTx begins a transaction on an upstream.
+func (g *Group) beginTx(u *upstream, j *Job, begin Command) (*Tx, Answer) {
+	r, refused := g.acquireConn(u, j)
 	if r == nil {
 		return nil, refused
 	}
-	prelude := r.conn.prelude(j.Values, j.Prepared)
-	g.begin(m, r)
-	asked := g.carrier.Now()
-	answers, _, err := g.exchange(m, r, j.Deadline, append(prelude, begin)...)
+	setup := r.conn.setupCommands(j.Values, j.Prepared)
+	g.addRun(u, r)
+	requestedAt := g.registry.Now()
+	answers, _, err := g.exchange(u, r, j.Deadline, append(setup, begin)...)
 	if err != nil {
-		g.end(m, r)
-		g.release(m, r.conn, false)
-		j.avoid(m)
+		g.removeRun(u, r)
+		g.release(u, r.conn, false)
+		j.markTried(u)
 		return nil, refusal(Aborted, "connection lost before the transaction began")
 	}
-	answer := verdict(answers, len(prelude))
+	answer := lastAnswer(answers, len(setup))
 	if answer.Code != OK {
-		g.end(m, r)
-		g.release(m, r.conn, answer.State == Idle)
+		g.removeRun(u, r)
+		g.release(u, r.conn, answer.State == Idle)
 		return nil, answer
 	}
 	if begin.Verb == Begin {
-		g.proved(m, asked, answer.Mark)
+		g.recordLeader(u, requestedAt, answer.Mark)
 	}
-	return &Tx{g: g, m: m, r: r, state: Open}, Answer{}
+	return &Tx{group: g, upstream: u, run: r, state: Open}, Answer{}
 }
 
-// Do runs a statement inside the transaction. An answer that isn't OK means that
-// the transaction has failed; nothing of it is kept.
+// Do runs a statement inside the transaction. An answer that is not OK means that the
+// transaction has failed and nothing of it is kept.
 func (t *Tx) Do(j *Job, cmd Command) Answer {
 	if t.state != Open {
 		return refusal(Aborted, "the transaction has failed")
 	}
 	t.wrote = t.wrote || j.Writes
 	for {
-		answer := t.once(j, cmd)
+		answer := t.runOnce(j, cmd)
 		busy := answer.Code == Busy && answer.State == Open
-		if !busy || !pause(j, busyPause) {
-			return t.settle(answer)
+		if !busy || !pause(j, busyRetryDelay) {
+			return t.applyAnswer(answer)
 		}
 	}
 }
 
-func (t *Tx) once(j *Job, cmd Command) Answer {
-	prelude := t.r.conn.prelude(j.Values, j.Prepared)
-	started := t.g.carrier.Now()
-	answers, _, err := t.g.exchange(t.m, t.r, j.Deadline, append(prelude, cmd)...)
+func (t *Tx) runOnce(j *Job, cmd Command) Answer {
+	setup := t.run.conn.setupCommands(j.Values, j.Prepared)
+	started := t.group.registry.Now()
+	answers, _, err := t.group.exchange(t.upstream, t.run, j.Deadline, append(setup, cmd)...)
 	if err != nil {
-		j.avoid(t.m)
+		j.markTried(t.upstream)
 		if time.Until(j.Deadline) > 0 {
-			t.g.ended(t.m, true)
+			t.group.recordFailure(t.upstream, true)
 		}
 		return Answer{Code: Aborted, Text: "connection lost inside the transaction", State: Broken}
 	}
-	answer := verdict(answers, len(prelude))
-	answer.Upstream, answer.Led = t.m.id, t.g.leads() == t.m
-	t.g.judge(t.m, answer.Code)
+	answer := lastAnswer(answers, len(setup))
+	answer.Upstream, answer.Led = t.upstream.id, t.group.reachableLeader() == t.upstream
+	t.group.recordOutcome(t.upstream, answer.Code)
 	if answer.Code == OK {
-		answer.Ran = t.g.carrier.Now().Sub(started)
-		t.g.took(t.m, answer.Ran)
+		answer.Ran = t.group.registry.Now().Sub(started)
+		t.group.recordAnswerTime(t.upstream, answer.Ran)
 	}
 	return answer
 }
 
-// settle takes in the answer of a statement. A transaction that the upstream
-// holds open after a refusal is taken for failed all the same, as its caller
-// takes it.
-func (t *Tx) settle(a Answer) Answer {
+// applyAnswer updates the state of the transaction by the answer of a statement. After a
+// refusal the transaction counts as failed even if the upstream keeps it open, because the
+// caller treats it as failed.
+func (t *Tx) applyAnswer(a Answer) Answer {
 	switch {
 	case a.Code == OK && a.State == Open:
 	case a.Code == OK:
@@ -154,26 +153,26 @@
 	default:
 		t.state = Broken
 		if !a.Code.GuaranteesNoEffect() {
-			// Nothing of a transaction that never got its commit is kept, whatever
-			// became of the statement.
+			// Nothing of a transaction that was never sent a commit is kept, whatever the
+			// outcome of the statement.
 			a = refusal(Aborted, a.Code.String()+": "+a.Text)
 		}
 	}
 	return a
 }
 
-// Commit ends the transaction for good. Once the commit has been sent and its
-// answer is lost, a transaction that wrote is in doubt.
+// Commit commits the transaction. If the commit was sent and its answer is lost, the
+// outcome of a transaction that wrote is in doubt.
 func (t *Tx) Commit(j *Job, cmd Command) Answer {
 	if t.state != Open {
 		t.Rollback()
 		return refusal(Aborted, "the transaction has failed")
 	}
-	t.r.harmful = t.wrote
-	answers, sent, err := t.g.exchange(t.m, t.r, j.Deadline, cmd)
-	t.g.end(t.m, t.r)
+	t.run.inDoubtIfLost = t.wrote
+	answers, sent, err := t.group.exchange(t.upstream, t.run, j.Deadline, cmd)
+	t.group.removeRun(t.upstream, t.run)
 	if err != nil {
-		t.g.release(t.m, t.r.conn, false)
+		t.group.release(t.upstream, t.run.conn, false)
 		t.state = Idle
 		if sent && t.wrote {
 			return refusal(InDoubt, "connection lost after the commit was sent")
@@ -183,9 +182,9 @@
 	t.state = Idle
 	answer := answers[0]
 	if t.wrote {
-		t.g.acknowledged(t.m)
+		t.group.recordWrite(t.upstream)
 	}
-	t.g.release(t.m, t.r.conn, answer.State == Idle)
+	t.group.release(t.upstream, t.run.conn, answer.State == Idle)
 	answer.State = Idle
 	if answer.Code != OK && !answer.Code.GuaranteesNoEffect() && !t.wrote {
 		return refusal(Aborted, answer.Code.String()+": "+answer.Text)
@@ -193,35 +192,35 @@
 	return answer
 }
 
-// Rollback ends the transaction and drops what it wrote. Its caller needn't wait
-// for it: a connection that can't be rolled back is closed, which does the same.
+// Rollback ends the transaction and discards what it wrote. The caller need not wait for
+// it: a connection that cannot be rolled back is closed, which has the same effect.
 func (t *Tx) Rollback() {
 	if t.state == Idle {
 		return
 	}
 	t.state = Idle
-	answers, _, err := t.g.exchange(t.m, t.r, time.Now().Add(lookTimeout), Command{Verb: Rollback})
-	t.g.end(t.m, t.r)
-	t.g.release(t.m, t.r.conn, err == nil && answers[0].State == Idle)
+	answers, _, err := t.group.exchange(t.upstream, t.run, time.Now().Add(probeTimeout), Command{Verb: Rollback})
+	t.group.removeRun(t.upstream, t.run)
+	t.group.release(t.upstream, t.run.conn, err == nil && answers[0].State == Idle)
 }
 
-// CommitEmpty commits a transaction without statements at an upstream, for its
+// CommitEmpty commits a transaction without statements on an upstream, for the upstream's
 // signature.
 func (g *Group) CommitEmpty(j *Job, readOnly bool, cmd Command) Answer {
-	for n := 0; n < attempts && time.Until(j.Deadline) > 0; n++ {
-		m, since, refused := g.place(j)
-		if m == nil {
+	for n := 0; n < maxAttempts && time.Until(j.Deadline) > 0; n++ {
+		u, since, refused := g.place(j)
+		if u == nil {
 			return refused
 		}
 		begin := Command{Verb: Begin}
 		if readOnly && j.Freshness != cataloger.Latest {
 			begin = Command{Verb: BeginRead, Since: since}
 		}
-		tx, answer := g.begun(m, j, begin)
+		tx, answer := g.beginTx(u, j, begin)
 		if tx != nil {
 			return tx.Commit(j, cmd)
 		}
-		if !g.again(m, j, answer) && answer.Code != Aborted {
+		if !g.shouldRetry(u, j, answer) && answer.Code != Aborted {
 			return answer
 		}
 	}
--- a/carrier/unlisted.go
+++ b/carrier/unlisted.go
@@ -10,61 +10,62 @@
 )
 
 const (
-	// unlistedFor is how long an upstream that answers is used after the store has
-	// stopped listing it: time enough for a planned change of leader, 1.1 to 1.5 s, and
-	// short of the few seconds after which an upstream that left gets nothing new.
-	unlistedFor = 3 * time.Second
-	// answering is how recent an answer shows that an upstream lives. One that crashed
-	// loses its entry some 3 s after it fell silent.
-	answering = time.Second
+	// unlistedTimeout is how long an upstream that answers is used after the store has
+	// stopped listing it: long enough for a planned change of leader, 1.1 to 1.5 s, and
+	// less than the few seconds after which an upstream that is leaving gets nothing new.
+	unlistedTimeout = 3 * time.Second
+	// recentAnswerWindow is how recent an answer must be to show that an upstream is alive.
+	// One that crashed loses its entry some 3 s after it stopped answering.
+	recentAnswerWindow = time.Second
 )
 
-// survives reports whether a member that isn't listed any more goes on as one that
-// leaves. Who leaves says so first, and who crashed doesn't answer: one that did neither
-// is cut off from the store, which forgets it, and does its work. Dropped at once, a
-// leader left its group without one for 2 s, until it was listed again; as one that
-// leaves it is replaced as planned and leads until then. The caller has the lock.
-func (g *Group) survives(m *member, list []cataloger.Upstream) bool {
-	now := g.carrier.Now()
-	if !m.unlisted.IsZero() {
-		return now.Sub(m.unlisted) < unlistedFor && !succeeded(m, list)
+// keepUnlisted reports whether an upstream that is no longer listed is kept as one that is
+// leaving. An upstream that leaves announces it first, and one that crashed does not
+// answer. One that did neither is partitioned from the store, which drops its entry while
+// the upstream still works. When such a leader was dropped at once, its group had no leader
+// for 2 s, until it was listed again. Kept as leaving, it is replaced as planned and leads
+// until then. The caller must hold g.mu.
+func (g *Group) keepUnlisted(u *upstream, list []cataloger.Upstream) bool {
+	now := g.registry.Now()
+	if !u.unlistedSince.IsZero() {
+		return now.Sub(u.unlistedSince) < unlistedTimeout && !isReplaced(u, list)
 	}
-	if m.entry.Leaving || m.barred || now.Sub(m.answered) > answering || succeeded(m, list) {
+	if u.entry.Leaving || u.ejected || now.Sub(u.answeredAt) > recentAnswerWindow || isReplaced(u, list) {
 		return false
 	}
-	m.unlisted, m.entry.Leaving = now, true
-	g.log().Warn("carrier: upstream not listed, and answers", zap.String("group", g.name), zap.String("upstream", m.id),
-		zap.Duration("since answer", now.Sub(m.answered)), zap.Bool("leads", m == g.leader))
+	u.unlistedSince, u.entry.Leaving = now, true
+	g.log().Warn("carrier: unlisted upstream still answers; kept as leaving", zap.String("group", g.name), zap.String("upstream", u.id),
+		zap.Duration("since answer", now.Sub(u.answeredAt)), zap.Bool("leads", u == g.leader))
 	return true
 }
 
-// succeeded reports whether another upstream, or a later start of the same, is listed
-// at a member's address or by its id.
-func succeeded(m *member, list []cataloger.Upstream) bool {
-	for _, u := range list {
-		if u.Address == m.entry.Address || u.ID == m.id {
+// isReplaced reports whether another upstream, or a later start of the same one, is listed
+// at the upstream's address or under its id.
+func isReplaced(u *upstream, list []cataloger.Upstream) bool {
+	for _, listed := range list {
+		if listed.Address == u.entry.Address || listed.ID == u.id {
 			return true
 		}
 	}
 	return false
 }
 
-// expire drops members that the store hasn't listed for too long, or that have stopped
-// answering since. The caller has the lock.
-func (g *Group) expire(now time.Time) {
-	if !slices.ContainsFunc(g.members, func(m *member) bool { return !m.unlisted.IsZero() }) {
+// dropExpired drops upstreams that the store has not listed for too long, or that have
+// stopped answering since. The caller must hold g.mu.
+func (g *Group) dropExpired(now time.Time) {
+	if !slices.ContainsFunc(g.upstreams, func(u *upstream) bool { return !u.unlistedSince.IsZero() }) {
 		return
 	}
-	kept := make([]*member, 0, len(g.members))
-	for _, m := range g.members {
-		if !m.unlisted.IsZero() && (m.barred || now.Sub(m.unlisted) >= unlistedFor) {
-			g.drop(m)
+	kept := make([]*upstream, 0, len(g.upstreams))
+	for _, u := range g.upstreams {
+		if !u.unlistedSince.IsZero() && (u.ejected || now.Sub(u.unlistedSince) >= unlistedTimeout) {
+			g.drop(u)
 			continue
 		}
-		kept = append(kept, m)
+		kept = append(kept, u)
 	}
-	if len(kept) < len(g.members) {
-		g.members = kept
-		g.signal()
+	if len(kept) < len(g.upstreams) {
+		g.upstreams = kept
+		g.notifyWaiters()
 	}
 }
