--- a/carrier/watch.go
+++ b/carrier/watch.go
@@ -11,325 +11,328 @@
 	"basildale.example/basildale/pooler"
 )
 
-// Times of looking after upstreams.
+// Timeouts and intervals of checking upstreams.
 const (
-	// silence is how long an upstream may leave what runs there unanswered, while
-	// it answers nothing else, before a new connection is tried. The longest work
-	// is 410 ms and rare, and most takes 20 to 80 ms.
-	silence = 300 * time.Millisecond
-	// tryTimeout is how long that connection may take. A handshake takes 12 to
-	// 27 ms and waits for a slot.
-	tryTimeout = 250 * time.Millisecond
-	// overdue is how long a read may run at an upstream that does answer new
-	// connections and nothing else, before its answer counts as lost.
-	overdue = 700 * time.Millisecond
-	// gap between two ticks, beyond which this process stood still and its
-	// impatience counts from anew.
-	gap = 400 * time.Millisecond
-	// lettingGo is the time between two looks for connections that nobody needed
-	// since the last one.
-	lettingGo = 2 * time.Second
-	// hanging is how long an upstream that greets nobody in time may have answered
-	// nothing else, before it is barred: longer than a greeting may take.
-	hanging = 600 * time.Millisecond
-	// firstPause and longestPause bound the time between two looks at an upstream
-	// that is barred.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	// lookTimeout is how long a look may take.
-	lookTimeout = 500 * time.Millisecond
-	// seekEvery is the least time between two questions who leads.
-	seekEvery = 50 * time.Millisecond
+	// silenceThreshold is how long an upstream may leave running work unanswered, while it
+	// answers nothing else, before a new connection is tried. The longest work takes 410 ms
+	// and is rare, and most takes 20 to 80 ms.
+	silenceThreshold = 300 * time.Millisecond
+	// silenceCheckTimeout is how long that connection may take. A handshake takes 12
+	// to 27 ms and waits for a slot.
+	silenceCheckTimeout = 250 * time.Millisecond
+	// lostReadThreshold is how long a read may run on an upstream that accepts new
+	// connections and answers nothing else, before its answer counts as lost.
+	lostReadThreshold = 700 * time.Millisecond
+	// pauseThreshold is the gap between two ticks beyond which this process was paused, and
+	// its timeouts for upstreams start again.
+	pauseThreshold = 400 * time.Millisecond
+	// shrinkInterval is how often connections are closed that have not been needed since
+	// the previous time.
+	shrinkInterval = 2 * time.Second
+	// hangThreshold is how long an upstream whose handshakes time out may have answered
+	// nothing else before it is ejected: longer than a handshake may take.
+	hangThreshold = 600 * time.Millisecond
+	// minProbeInterval and maxProbeInterval bound the time between two probes of an ejected
+	// upstream.
+	minProbeInterval = 100 * time.Millisecond
+	maxProbeInterval = 800 * time.Millisecond
+	// probeTimeout is how long a probe may take.
+	probeTimeout = 500 * time.Millisecond
+	// leaderSearchInterval is the minimum time between two searches for the leader.
+	leaderSearchInterval = 50 * time.Millisecond
 )
 
-// tick bars members that have gone silent and looks at those that are barred.
+// tick ejects upstreams that have stopped answering and probes those that are ejected.
 func (g *Group) tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.quiet {
+	if g.idle {
 		return
 	}
-	stood := now.Sub(g.ticked) > gap
-	g.ticked = now
-	shrink := now.Sub(g.shrunk) >= lettingGo
+	wasPaused := now.Sub(g.tickedAt) > pauseThreshold
+	g.tickedAt = now
+	shrink := now.Sub(g.shrunkAt) >= shrinkInterval
 	if shrink {
-		g.shrunk = now
+		g.shrunkAt = now
 	}
-	g.expire(now)
-	keep := lasting(g.carrier.share(g.name))
-	for _, m := range g.members {
+	g.dropExpired(now)
+	keep := keptConns(g.registry.share(g.name))
+	for _, u := range g.upstreams {
 		if shrink {
-			go m.pool.Shrink(keep)
+			go u.pool.Shrink(keep)
 		}
-		g.noteClosed(m, now)
+		g.reportDrainEnded(u, now)
 		switch {
-		case stood:
-			m.answered = now
-		case m.barred:
-			g.look(m, now)
-		case g.silent(m, now):
-			g.try(m)
+		case wasPaused:
+			u.answeredAt = now
+		case u.ejected:
+			g.probe(u, now)
+		case g.isSilent(u, now):
+			g.checkSilent(u)
 		}
 	}
-	if g.present() == nil {
-		g.seek()
+	if g.reachableLeaderLocked() == nil {
+		g.searchLeader()
 	}
-	g.quiet = keep == 0 && !slices.ContainsFunc(g.members, (*member).needsCare)
+	g.idle = keep == 0 && !slices.ContainsFunc(g.upstreams, (*upstream).needsTicks)
 }
 
-// needsCare reports whether there is something at a member that has to be looked after
-// though this process has no share of its connections. The caller has the lock.
-func (m *member) needsCare() bool {
-	return !m.unlisted.IsZero() || m.probing || len(m.running) > 0 || !m.ends.IsZero() && !m.closing || m.pool.Stats().Open > 0
+// needsTicks reports whether something on the upstream has to be checked although this
+// process has no share of its connections. The caller must hold the group's lock.
+func (u *upstream) needsTicks() bool {
+	return !u.unlistedSince.IsZero() || u.probing || len(u.running) > 0 || !u.endsAt.IsZero() && !u.drainEndReported || u.pool.Stats().Open > 0
 }
 
-// lasting is how many connections to an upstream stay open without need, of the share
-// of this process: half of it. An upstream counts the connections of processes that
-// lost power for 3 s more. With all shares used before, those that come back have no
-// room there, and their first statements are late.
-func lasting(share int) int { return (share + 1) / 2 }
+// keptConns returns how many connections to an upstream stay open without being needed:
+// half of this process's share. An upstream counts the connections of processes that lost
+// power for 3 s more. If all shares were in use before, there is no room for the processes
+// that come back, and their first statements are late.
+func keptConns(share int) int { return (share + 1) / 2 }
 
-// silent reports whether a member has left something unanswered for too long
-// and answered nothing since. The caller has the lock.
-func (g *Group) silent(m *member, now time.Time) bool {
-	if now.Sub(m.answered) < silence {
+// isSilent reports whether an upstream has left something unanswered for too long and
+// answered nothing since. The caller must hold g.mu.
+func (g *Group) isSilent(u *upstream, now time.Time) bool {
+	if now.Sub(u.answeredAt) < silenceThreshold {
 		return false
 	}
-	for r := range m.running {
-		if !r.started.IsZero() && now.Sub(r.started) >= silence {
+	for r := range u.running {
+		if !r.exchangeStartedAt.IsZero() && now.Sub(r.exchangeStartedAt) >= silenceThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// try opens a connection to a silent member. Connections may have gone silent
-// while the member is well, or one answer may be lost: then new connections work
-// and only what is overdue is given up. Else the member is barred. The caller has
-// the lock.
-func (g *Group) try(m *member) {
-	if m.probing {
+// checkSilent opens a connection to a silent upstream. Its connections may have broken
+// while the upstream is healthy, or one answer may be lost: new connections then work, and
+// only the reads whose answers are lost are aborted. Otherwise the upstream is ejected. The
+// caller must hold g.mu.
+func (g *Group) checkSilent(u *upstream) {
+	if u.probing {
 		return
 	}
-	m.probing = true
-	entry := m.entry
+	u.probing = true
+	entry := u.entry
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), silenceCheckTimeout)
 		defer cancel()
-		l, err := g.carrier.Dial(ctx, entry, "")
+		l, err := g.registry.Dial(ctx, entry, "")
 		if err == nil {
-			_ = l.Close() // it has told what it was opened for
+			_ = l.Close() // it was opened only as a check
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		m.probing = false
-		now := g.carrier.Now()
+		u.probing = false
+		now := g.registry.Now()
 		switch {
 		case err != nil && !errors.Is(err, ErrConnectionLimit):
-			g.bar(m, now, "silent, and "+err.Error())
+			g.eject(u, now, "silent, and opening a new connection failed: "+err.Error())
 		default:
-			g.giveUpOverdue(m, now)
+			g.abortLostReads(u, now)
 		}
 	}()
 }
 
-// giveUpOverdue ends reads whose answers are lost, so that they run elsewhere.
-// The caller has the lock.
-func (g *Group) giveUpOverdue(m *member, now time.Time) {
-	for r := range m.running {
-		if r.harmful || r.started.IsZero() || now.Sub(r.started) < overdue {
+// abortLostReads aborts reads whose answers are lost, so that they run elsewhere. The
+// caller must hold g.mu.
+func (g *Group) abortLostReads(u *upstream, now time.Time) {
+	for r := range u.running {
+		if r.inDoubtIfLost || r.exchangeStartedAt.IsZero() || now.Sub(r.exchangeStartedAt) < lostReadThreshold {
 			continue
 		}
-		g.log().Info("carrier: answer lost", zap.String("group", g.name), zap.String("upstream", m.id), zap.Duration("waited", now.Sub(r.started)))
+		g.log().Info("carrier: answer lost; aborting read", zap.String("group", g.name), zap.String("upstream", u.id), zap.Duration("waited", now.Sub(r.exchangeStartedAt)))
 		r.conn.Abort()
 	}
 }
 
-// errUnshared is what those get who ask for a connection while this process has no
-// share of them. A process that starts takes one of each upstream until it knows its
-// peers, and often none from then on: whoever had asked before waited there for
-// the statement's whole second, while peers that carry had room.
-var errUnshared = errors.New("carrier: no share of the upstream's connections")
+// errNoShare is returned to those that request a connection while this process has no share
+// of them. A starting process takes one connection of each upstream until it knows its
+// peers, and often has no share from then on. A statement that had requested a connection
+// before that waited there for its whole second, while peers that are gateways had room.
+var errNoShare = errors.New("carrier: no share of the upstream's connections")
 
-// errBarred is what those get who wait for a connection to a member that is barred.
-var errBarred = errors.New("carrier: upstream barred")
+// errEjected is returned to those that wait for a connection to an upstream that is
+// ejected.
+var errEjected = errors.New("carrier: upstream barred")
 
-// bar keeps new work from a member and takes the reads that wait there
-// elsewhere. Without it each of them would wait until its own deadline. The
-// caller has the lock.
-func (g *Group) bar(m *member, now time.Time, cause string) {
-	if m.barred {
+// eject keeps new work from an upstream and aborts the reads that wait there, so that they
+// run elsewhere. Otherwise each of them would wait until its own deadline. The caller must
+// hold g.mu.
+func (g *Group) eject(u *upstream, now time.Time, cause string) {
+	if u.ejected {
 		return
 	}
-	m.barred = true
-	m.since = now
-	m.probeAt = now.Add(firstPause)
-	m.pause = firstPause
-	g.log().Warn("carrier: upstream barred", zap.String("group", g.name), zap.String("upstream", m.id), zap.String("cause", cause),
-		zap.Int("running", len(m.running)), zap.Duration("since answer", now.Sub(m.answered)), zap.Bool("leads", m == g.leader))
-	if m == g.leader && g.leaderless.IsZero() {
-		g.leaderless = now
+	u.ejected = true
+	u.ejectedAt = now
+	u.probeAt = now.Add(minProbeInterval)
+	u.probeInterval = minProbeInterval
+	g.log().Warn("carrier: upstream ejected", zap.String("group", g.name), zap.String("upstream", u.id), zap.String("cause", cause),
+		zap.Int("running", len(u.running)), zap.Duration("since answer", now.Sub(u.answeredAt)), zap.Bool("leads", u == g.leader))
+	if u == g.leader && g.leaderlessSince.IsZero() {
+		g.leaderlessSince = now
 	}
-	for r := range m.running {
-		if !r.harmful && !r.started.IsZero() {
+	for r := range u.running {
+		if !r.inDoubtIfLost && !r.exchangeStartedAt.IsZero() {
 			r.conn.Abort()
 		}
 	}
 	go func() {
-		m.pool.CloseIdle()
-		m.pool.FailWaiting(errBarred)
+		u.pool.CloseIdle()
+		u.pool.FailWaiting(errEjected)
 	}()
-	g.signal()
+	g.notifyWaiters()
 }
 
-// crowded takes in that a member has no room for another connection. Those of a
-// process that lost power count for 3 s more. Until then this process makes do
-// with what it has there; where it has nothing, who waits is told so.
-func (g *Group) crowded(m *member) {
-	stats := m.pool.Stats()
-	g.log().Info("carrier: upstream has no room", zap.String("group", g.name), zap.String("upstream", m.id),
+// handleConnectionLimit handles a refusal by an upstream that is at its connection limit.
+// The connections of a process that lost power count for 3 s more. Until they are dropped
+// this process uses the connections that it has; if it has none, those that wait for one
+// are refused.
+func (g *Group) handleConnectionLimit(u *upstream) {
+	stats := u.pool.Stats()
+	g.log().Info("carrier: upstream is at its connection limit", zap.String("group", g.name), zap.String("upstream", u.id),
 		zap.Int("open", stats.Open), zap.Int("waiting", stats.Waiting))
 	if stats.Open == 0 {
-		m.pool.FailWaiting(ErrConnectionLimit)
+		u.pool.FailWaiting(ErrConnectionLimit)
 	}
 }
 
-func (g *Group) isBarred(m *member) bool {
+func (g *Group) isEjected(u *upstream) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return m.barred
+	return u.ejected
 }
 
-// answers reports whether a member has answered anything lately. One that takes
-// connections and greets nobody may hang: its kernel goes on accepting.
-func (g *Group) answers(m *member) bool {
+// answeredRecently reports whether an upstream has answered anything lately. An upstream
+// that accepts connections and completes no handshake may hang: its kernel goes on
+// accepting.
+func (g *Group) answeredRecently(u *upstream) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.carrier.Now().Sub(m.answered) < hanging
+	return g.registry.Now().Sub(u.answeredAt) < hangThreshold
 }
 
-// refused takes in that a connection to a member couldn't be opened. Who has only
-// waited for one that is in use says nothing of the member.
-func (g *Group) refused(m *member, err error) {
+// handleOpenError handles a failure to get a connection to an upstream. A time-out while
+// waiting for one that is in use shows nothing about the upstream.
+func (g *Group) handleOpenError(u *upstream, err error) {
 	switch {
-	case errors.Is(err, pooler.ErrWaitTimeout), errors.Is(err, errBarred), errors.Is(err, errUnshared), errors.Is(err, ErrConnectionLimit):
+	case errors.Is(err, pooler.ErrWaitTimeout), errors.Is(err, errEjected), errors.Is(err, errNoShare), errors.Is(err, ErrConnectionLimit):
 		return
-	case errors.Is(err, ErrHandshakeTimeout) && g.answers(m):
+	case errors.Is(err, ErrHandshakeTimeout) && g.answeredRecently(u):
 		// A leader that was just promoted gets connections from all proxies at once;
-		// barring it for that would begin the next change of leader.
+		// ejecting it for that would begin the next change of leader.
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.bar(m, g.carrier.Now(), err.Error())
+	g.eject(u, g.registry.Now(), err.Error())
 }
 
-// look tries to open a connection to a barred member, when it is time. The
-// caller has the lock.
-func (g *Group) look(m *member, now time.Time) {
-	if m.probing || now.Before(m.probeAt) {
+// probe tries to open a connection to an ejected upstream, when it is time. The caller must
+// hold g.mu.
+func (g *Group) probe(u *upstream, now time.Time) {
+	if u.probing || now.Before(u.probeAt) {
 		return
 	}
-	m.probing = true
+	u.probing = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		c, err := m.pool.Get(ctx) // opening one takes it off the bar, in heard
+		c, err := u.pool.Get(ctx) // opening one ends the ejection, in recordAnswer
 		if err == nil {
-			g.release(m, c, true)
+			g.release(u, c, true)
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		m.probing = false
-		m.pause = min(2*m.pause, longestPause)
-		m.probeAt = g.carrier.Now().Add(m.pause)
+		u.probing = false
+		u.probeInterval = min(2*u.probeInterval, maxProbeInterval)
+		u.probeAt = g.registry.Now().Add(u.probeInterval)
 	}()
 }
 
-// seek asks the members that answer whether they lead, each unless that is under way. A
-// member that leads takes an empty transaction, all others refuse it; it costs no
-// slot. Those that are barred have looks of their own, and nobody waits for the slowest:
-// a former leader with more work than it can do has no connection free for half a
-// second, and asked in rounds that wait for all, processes heard of the next leader as
-// much later than the first one. The caller has the lock.
-func (g *Group) seek() {
-	now := g.carrier.Now()
-	if !g.IsGateway() || now.Sub(g.sought) < seekEvery {
+// searchLeader asks the upstreams that answer whether they lead, each unless a check is
+// already running. An upstream that leads accepts an empty transaction, all others refuse
+// it; it takes no slot. Ejected upstreams have probes of their own. No upstream waits for
+// the answer of another: an overloaded former leader has no connection free for half a
+// second, and when rounds waited for all answers, processes learned of the next leader that
+// much later than the first one did. The caller must hold g.mu.
+func (g *Group) searchLeader() {
+	now := g.registry.Now()
+	if !g.IsGateway() || now.Sub(g.searchedAt) < leaderSearchInterval {
 		return
 	}
-	g.sought = now
-	for _, m := range g.members {
-		if m.barred || m.asked {
+	g.searchedAt = now
+	for _, u := range g.upstreams {
+		if u.ejected || u.checkingLeader {
 			continue
 		}
-		m.asked = true
+		u.checkingLeader = true
 		go func() {
-			g.ask(m)
+			g.checkLeader(u)
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			m.asked = false
+			u.checkingLeader = false
 		}()
 	}
 }
 
-// ask begins and ends an empty transaction at a member. It reports whether the
-// member leads.
-func (g *Group) ask(m *member) bool {
-	deadline := time.Now().Add(lookTimeout)
-	c, err := m.connection(deadline)
+// checkLeader begins and ends an empty transaction on an upstream. It reports whether the
+// upstream leads.
+func (g *Group) checkLeader(u *upstream) bool {
+	deadline := time.Now().Add(probeTimeout)
+	c, err := u.getConn(deadline)
 	if err != nil {
 		return false
 	}
 	r := &run{conn: c}
-	g.begin(m, r)
-	defer g.end(m, r)
-	asked := g.carrier.Now()
-	answers, _, err := g.exchange(m, r, deadline, Command{Verb: Begin}, Command{Verb: Rollback})
+	g.addRun(u, r)
+	defer g.removeRun(u, r)
+	requestedAt := g.registry.Now()
+	answers, _, err := g.exchange(u, r, deadline, Command{Verb: Begin}, Command{Verb: Rollback})
 	if err != nil {
-		g.release(m, c, false)
+		g.release(u, c, false)
 		return false
 	}
 	leads := answers[0].Code == OK
-	g.release(m, c, answers[len(answers)-1].State == Idle)
+	g.release(u, c, answers[len(answers)-1].State == Idle)
 	if leads {
-		g.proved(m, asked, answers[0].Mark)
+		g.recordLeader(u, requestedAt, answers[0].Mark)
 	} else if answers[0].Code == ReadOnly {
-		g.follows(m)
+		g.recordReplica(u)
 	}
 	return leads
 }
 
-// VerifyLeader asks the leader whether it leads, and bars it if it can't be reached. What
-// this process believes of a leader that it hasn't used lately may be old: one sees
-// the holder of a duty try a planned change of a leader that has crashed, again and
-// again, while its peers wait for another one.
+// VerifyLeader asks the leader whether it leads. If it does not confirm that and a new
+// connection to it fails too, it is ejected. This process's view of a leader that it has
+// not used lately may be out of date: the lease holder then retries a planned change of a
+// leader that has crashed, again and again, while its peers wait for another one.
 func (g *Group) VerifyLeader() {
-	m := g.leads()
-	if m == nil || g.ask(m) {
+	u := g.reachableLeader()
+	if u == nil || g.checkLeader(u) {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.try(m)
+	g.checkSilent(u)
 }
 
-// refresh takes a new sample of the leader's log, and returns a channel that is
-// closed when that has ended. Only one runs at a time. The caller has the lock.
-func (g *Group) refresh() <-chan struct{} {
+// refreshSample takes a new sample of the leader's log, and returns a channel that is
+// closed when that has ended. Only one runs at a time. The caller must hold g.mu.
+func (g *Group) refreshSample() <-chan struct{} {
 	if g.sampling != nil {
 		return g.sampling
 	}
 	done := make(chan struct{})
-	leader := g.present()
-	if leader == nil && g.carrier.RequestSample == nil {
+	leader := g.reachableLeaderLocked()
+	if leader == nil && g.registry.RequestSample == nil {
 		return nil
 	}
 	g.sampling = done
 	go func() {
 		if leader != nil {
-			g.ask(leader)
+			g.checkLeader(leader)
 		} else {
-			g.askPeer()
+			g.samplePeer()
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -339,16 +342,16 @@
 	return done
 }
 
-// askPeer takes a sample by way of a peer that reaches the leader. It counts from
-// before the question.
-func (g *Group) askPeer() {
-	asked := g.carrier.Now()
-	mark, ok := g.carrier.RequestSample(g.name)
+// samplePeer takes a sample through a peer that reaches the leader. The sample's time is
+// that before the request.
+func (g *Group) samplePeer() {
+	requestedAt := g.registry.Now()
+	mark, ok := g.registry.RequestSample(g.name)
 	if !ok {
-		time.Sleep(firstPause) // whoever waits asks again, not more often than ten times a second
+		time.Sleep(minProbeInterval) // those that wait try again, at most ten times a second
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.samples.add(asked, mark)
+	g.samples.add(requestedAt, mark)
 }
--- a/carrier/workspace_test.go
+++ b/carrier/workspace_test.go
@@ -15,15 +15,15 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// owned is an upstream's connection for one workspace, which notes whose statements it
-// carries. The text of each says whose it is.
-type owned struct {
+// workspaceLink is an upstream's connection for one workspace. It reports statements of
+// other workspaces that run on it. The id of each statement is its workspace.
+type workspaceLink struct {
 	slotLink
 	workspace string
-	foreign   func(text, workspace string)
+	onForeign func(text, workspace string)
 }
 
-func (o *owned) Exchange(_ time.Time, commands ...Command) ([]Answer, bool, error) {
+func (o *workspaceLink) Exchange(_ time.Time, commands ...Command) ([]Answer, bool, error) {
 	answers := make([]Answer, len(commands))
 	for i, c := range commands {
 		answers[i] = Answer{Signature: "-", Mark: mark(1, 1)}
@@ -31,7 +31,7 @@
 			answers[i].State = Open
 		}
 		if c.ID != "" && c.ID != o.workspace {
-			o.foreign(c.ID, o.workspace)
+			o.onForeign(c.ID, o.workspace)
 		}
 	}
 	time.Sleep(time.Millisecond)
@@ -39,23 +39,23 @@
 }
 
 // Guards against a statement, a transaction or a retry of one workspace on a connection
-// that was opened for another; the process's own questions may go on any.
+// that was opened for another. The process's own commands may use any.
 func TestStatementsUseConnectionsOfTheirWorkspace(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		var mu sync.Mutex
 		var wrong []string
-		opened, open, most := 0, 0, 0
+		opened, open, maxOpen := 0, 0, 0
 		dial := func(_ context.Context, _ cataloger.Upstream, workspace string) (Link, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			opened++
 			open++
-			most = max(most, open)
-			return &closing{owned{workspace: workspace, foreign: func(text, of string) {
+			maxOpen = max(maxOpen, open)
+			return &countedLink{workspaceLink{workspace: workspace, onForeign: func(id, linkWorkspace string) {
 				mu.Lock()
 				defer mu.Unlock()
-				wrong = append(wrong, text+" on "+of)
+				wrong = append(wrong, id+" on "+linkWorkspace)
 			}}, func() {
 				mu.Lock()
 				defer mu.Unlock()
@@ -90,11 +90,11 @@
 		seen := func() (int, int, []string) {
 			mu.Lock()
 			defer mu.Unlock()
-			return opened, most, wrong
+			return opened, maxOpen, wrong
 		}
-		before, fullest, foreign := seen()
+		before, peak, foreign := seen()
 		is.Equal(foreign, nil)
-		is.True(fullest <= 4)
+		is.True(peak <= 4)
 		g.SampleLeader()
 		after, _, _ := seen()
 		is.Equal(after, before) // any connection will do
@@ -103,21 +103,21 @@
 	})
 }
 
-// closing tells when a connection is closed.
-type closing struct {
-	owned
+// countedLink reports when a connection is closed.
+type countedLink struct {
+	workspaceLink
 	closed func()
 }
 
-func (c *closing) Close() error {
+func (c *countedLink) Close() error {
 	c.closed()
 	return nil
 }
 
-// reads plays reads that may be old, of many workspaces at three upstreams that take a
-// few connections, and returns the parts of them that opened one and that ran at the
-// leader.
-func reads(t *testing.T) (opening, led float64) {
+// runReads simulates reads with bounded staleness, of many workspaces on three upstreams
+// that accept a few connections. It returns the proportions of them that opened a
+// connection and that ran on the leader.
+func runReads(t *testing.T) (opening, led float64) {
 	t.Helper()
 	const (
 		workspaces = 28
@@ -134,7 +134,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			opened++
-			return &owned{workspace: workspace, foreign: func(string, string) {}}, nil
+			return &workspaceLink{workspace: workspace, onForeign: func(string, string) {}}, nil
 		}
 		c := &Registry{Dial: dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: share}})
@@ -145,7 +145,7 @@
 			pause := time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 			time.Sleep(pause)
 			now += pause
-			// A few workspaces ask for most.
+			// A few workspaces send most of the reads.
 			workspace := fmt.Sprint("w", int(workspaces*rng.Float64()*rng.Float64()*rng.Float64()))
 			j := &Job{
 				Workspace: workspace, Freshness: cataloger.BoundedStaleness, MaxAge: 1500 * time.Millisecond,
@@ -171,11 +171,11 @@
 	return opening, led
 }
 
-// Guards against reads that open connections all over: a workspace's go to one replica,
-// and to the leader only where no replica will do.
+// Guards against reads that open connections on all upstreams: a workspace's reads go to
+// one replica, and to the leader only where no replica will do.
 func TestReadsKeepToTheirReplica(t *testing.T) {
 	is := is.New(t)
-	opening, led := reads(t)
+	opening, led := runReads(t)
 	t.Logf("%.0f %% of the reads opened a connection, %.0f %% ran at the leader", 100*opening, 100*led)
 	is.True(opening < 0.2)
 	is.True(led < 0.05)
