--- a/carrier/doc.go
+++ b/carrier/doc.go
@@ -24,5 +24,5 @@
 //	c := &carrier.Registry{Dial: dial, Now: now, Log: log}
 //	c.Apply(upstreams)
 //	group, ok := c.Group("billet-db")
-//	reply := group.Run(&carrier.Job{Freshness: cataloger.Bounded, MaxAge: age, Arrived: now(), Deadline: deadline}, command)
+//	reply := group.Run(&carrier.Job{Freshness: cataloger.BoundedStaleness, MaxAge: age, Arrived: now(), Deadline: deadline}, command)
 package carrier
