--- a/carrier/leader_wait_test.go
+++ b/carrier/leader_wait_test.go
@@ -29,10 +29,10 @@
 // here.
 func TestStatementIsRefusedAtOnceWhenNoLeaderIsExpected(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		barred []int
-		lost   time.Duration
-		held   time.Duration
+		name    string
+		ejected []int
+		lost    time.Duration
+		held    time.Duration
 	}{
 		{"both replicas are ejected", []int{1, 2}, time.Second, 0},
 		{"all three are ejected", []int{0, 1, 2}, time.Second, 0},
@@ -43,7 +43,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				g := newLeaderlessGroup(test.lost)
-				for _, i := range test.barred {
+				for _, i := range test.ejected {
 					g.upstreams[i].ejected = true
 				}
 				began := time.Now()
--- a/carrier/samples.go
+++ b/carrier/samples.go
@@ -14,8 +14,8 @@
 	// maxSamples is how many samples are kept: at the minimum interval they cover 3.2 s.
 	maxSamples = 64
 	// samplesPerMaxAge is how many samples cover the maximum age that a read allows, so
-	// that the ring also holds some older ones. With fewer, a read names a newer position
-	// than it needs at a replica that lags by most of that age.
+	// that the ring also holds some older ones. With fewer, the position that a read
+	// requires of a replica that lags by most of that age is newer than it needs to be.
 	samplesPerMaxAge = 48
 )
 
@@ -36,8 +36,7 @@
 	a.maxAge = max(a.maxAge, age)
 }
 
-// interval returns the interval between samples at which the ring covers the maximum
-// age.
+// interval returns the interval between samples at which the ring covers the maximum age.
 func (a *ages) interval() time.Duration { return max(minSampleInterval, a.maxAge/samplesPerMaxAge) }
 
 // negligibleLag returns a lag that does not matter: an eighth of the minimum age.
--- a/carrier/workspace_test.go
+++ b/carrier/workspace_test.go
@@ -20,7 +20,7 @@
 type workspaceLink struct {
 	slotLink
 	workspace string
-	onForeign func(text, workspace string)
+	onForeign func(id, workspace string)
 }
 
 func (o *workspaceLink) Exchange(_ time.Time, commands ...Command) ([]Answer, bool, error) {
@@ -173,7 +173,7 @@
 
 // Guards against reads that open connections on all upstreams: a workspace's reads go to
 // one replica, and to the leader only where no replica will do.
-func TestReadsKeepToTheirReplica(t *testing.T) {
+func TestReadsUseHomeReplica(t *testing.T) {
 	is := is.New(t)
 	opening, led := runReads(t)
 	t.Logf("%.0f %% of the reads opened a connection, %.0f %% ran at the leader", 100*opening, 100*led)
