--- a/throttler/bank.go
+++ b/throttler/bank.go
@@ -2,141 +2,144 @@
 
 import "time"
 
-// Verdict is what a holder says to an operation.
+// Verdict is an owner's decision on an operation.
 type Verdict struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
-	// Unsure says that too few processes have been heard lately to tell: the holder has
-	// just become it, or is cut off from most. Asked again a moment later it may grant.
+	// Unsure says that credits of too few processes have arrived lately to decide: this
+	// process has just become the owner, or is cut off from most of the fleet. The same
+	// request may be granted a moment later.
 	Unsure bool
-	// RetryAfter is how long after a refusal it is worth coming back.
+	// RetryAfter is the time after which it makes sense to retry a refused operation.
 	RetryAfter time.Duration
 }
 
 const (
-	// judged is the time, up to two Periods ago, in which most processes must have been
-	// heard for a refusal to be sure.
-	judged = 500 * time.Millisecond
-	// most is the part of the fleet that must have been heard.
-	most = 0.5
-	// leastBack is the shortest time that a caller is told to come back after.
-	leastBack = 50 * time.Millisecond
-	// idle is how long what a workspace has spent is remembered.
-	idle = 2 * longestLife
+	// coverageWindow is the time, ending two CreditIntervals ago, in which the credits of
+	// most processes must have arrived for a refusal to be sure.
+	coverageWindow = 500 * time.Millisecond
+	// minCoverage is the part of the fleet whose credits must have arrived.
+	minCoverage = 0.5
+	// minRetryAfter is the shortest time that a caller is told to wait.
+	minRetryAfter = 50 * time.Millisecond
+	// idleTimeout is how long the spending of a workspace is kept after its last operation.
+	idleTimeout = 2 * maxTokenLife
 )
 
-// bank is what a holder has collected for its workspaces, and what they have spent.
-type bank struct {
-	// time is, for each grain, the part of the fleet's time that was given, in seconds.
-	time [Shards]ring
-	// spent is what each workspace has spent of the tokens of each grain.
-	spent map[string]*account
-	swept time.Time
+// ledger holds the credits that an owner has collected, and the tokens that workspaces
+// have spent.
+type ledger struct {
+	// credited is, for each shard and bucket of time, the part of the fleet's time that was
+	// credited, in seconds.
+	credited [Shards]ring
+	// spent is the number of tokens of each bucket that each workspace has spent.
+	spent     map[string]*account
+	lastSweep time.Time
 }
 
 type account struct {
 	ring
-	used time.Time
+	lastUsed time.Time
 }
 
-// deposit takes in a span of time up to now of one process of so many. Of each grain no
-// more is kept than the fleet has in it: processes that reckon with different sizes of
-// the fleet, or messages that were held up, add nothing.
-func (b *bank) deposit(shard int, span time.Duration, fleet int, now time.Time) {
-	r := &b.time[shard]
-	r.advance(grainOf(now))
+// add credits a span of time up to now of one process out of fleet. A bucket never
+// holds more than the fleet's whole time in it, so that processes that assume different
+// sizes of the fleet, or delayed messages, add nothing beyond it.
+func (l *ledger) add(shard int, span time.Duration, fleet int, now time.Time) {
+	r := &l.credited[shard]
+	r.advance(bucketOf(now))
 	end := now
 	for begin := now.Add(-span); begin.Before(end); {
-		g := grainOf(end.Add(-1))
-		from := time.Unix(0, g*int64(grain))
+		bucket := bucketOf(end.Add(-1))
+		from := time.Unix(0, bucket*int64(bucketWidth))
 		if from.Before(begin) {
 			from = begin
 		}
-		if held := r.at(g); held != nil {
-			*held = min(grain.Seconds(), *held+end.Sub(from).Seconds()/float64(fleet))
+		if seconds := r.at(bucket); seconds != nil {
+			*seconds = min(bucketWidth.Seconds(), *seconds+end.Sub(from).Seconds()/float64(fleet))
 		}
 		end = from
 	}
 }
 
 // take spends a token of a workspace, the oldest first.
-func (b *bank) take(workspace string, gr grade, now time.Time) Verdict {
-	b.sweep(now)
-	latest := grainOf(now)
-	made := &b.time[Shard(workspace)]
-	made.advance(latest)
-	a := b.account(workspace, now)
+func (l *ledger) take(workspace string, limit tokenLimit, now time.Time) Verdict {
+	l.sweep(now)
+	latest := bucketOf(now)
+	credits := &l.credited[Shard(workspace)]
+	credits.advance(latest)
+	a := l.account(workspace, now)
 	a.advance(latest)
-	left := 0.0
-	oldest := grainOf(now.Add(-gr.life)) + 1
-	for g := oldest; g <= latest; g++ {
-		left += b.left(made, a, gr, g)
+	unspent := 0.0
+	oldest := bucketOf(now.Add(-limit.life)) + 1
+	for bucket := oldest; bucket <= latest; bucket++ {
+		unspent += l.unspent(credits, a, limit, bucket)
 	}
-	if left < 1 {
-		return b.refuse(made, gr, left, now)
+	if unspent < 1 {
+		return l.refuse(credits, limit, unspent, now)
 	}
 	price := 1.0
-	for g := oldest; g <= latest && price > 0; g++ {
-		paid := min(price, b.left(made, a, gr, g))
-		*a.at(g) += paid
+	for bucket := oldest; bucket <= latest && price > 0; bucket++ {
+		paid := min(price, l.unspent(credits, a, limit, bucket))
+		*a.at(bucket) += paid
 		price -= paid
 	}
 	return Verdict{Granted: true}
 }
 
-// left returns how many tokens of a grain a workspace hasn't spent.
-func (b *bank) left(made *ring, a *account, gr grade, g int64) float64 {
-	m, s := made.at(g), a.at(g)
+// unspent returns how many tokens of a bucket a workspace has not spent.
+func (l *ledger) unspent(credits *ring, a *account, limit tokenLimit, bucket int64) float64 {
+	m, s := credits.at(bucket), a.at(bucket)
 	if m == nil || s == nil {
 		return 0
 	}
-	return max(0, gr.rate**m-*s)
+	return max(0, limit.rate**m-*s)
 }
 
-func (b *bank) account(workspace string, now time.Time) *account {
-	if b.spent == nil {
-		b.spent = map[string]*account{}
+func (l *ledger) account(workspace string, now time.Time) *account {
+	if l.spent == nil {
+		l.spent = map[string]*account{}
 	}
-	a := b.spent[workspace]
+	a := l.spent[workspace]
 	if a == nil {
 		a = &account{}
-		b.spent[workspace] = a
+		l.spent[workspace] = a
 	}
-	a.used = now
+	a.lastUsed = now
 	return a
 }
 
 // refuse returns the verdict on an operation for which there is no token.
-func (b *bank) refuse(made *ring, gr grade, left float64, now time.Time) Verdict {
-	if gr.rate == 0 {
-		return Verdict{RetryAfter: longestLife}
+func (l *ledger) refuse(credits *ring, limit tokenLimit, unspent float64, now time.Time) Verdict {
+	if limit.rate == 0 {
+		return Verdict{RetryAfter: maxTokenLife}
 	}
-	back := time.Duration((1 - left) / gr.rate * float64(time.Second))
-	return Verdict{Unsure: heard(made, now) < most, RetryAfter: max(back, leastBack)}
+	retryAfter := time.Duration((1 - unspent) / limit.rate * float64(time.Second))
+	return Verdict{Unsure: coverage(credits, now) < minCoverage, RetryAfter: max(retryAfter, minRetryAfter)}
 }
 
-// heard returns which part of the fleet has been heard lately.
-func heard(made *ring, now time.Time) float64 {
-	end := grainOf(now.Add(-2 * CreditInterval))
-	begin := grainOf(now.Add(-2*CreditInterval - judged))
+// coverage returns the part of the fleet whose credits have arrived lately.
+func coverage(credits *ring, now time.Time) float64 {
+	end := bucketOf(now.Add(-2 * CreditInterval))
+	begin := bucketOf(now.Add(-2*CreditInterval - coverageWindow))
 	sum := 0.0
-	for g := begin; g < end; g++ {
-		if m := made.at(g); m != nil {
+	for bucket := begin; bucket < end; bucket++ {
+		if m := credits.at(bucket); m != nil {
 			sum += *m
 		}
 	}
-	return sum / judged.Seconds()
+	return sum / coverageWindow.Seconds()
 }
 
-// sweep forgets workspaces that haven't asked for long.
-func (b *bank) sweep(now time.Time) {
-	if now.Sub(b.swept) < idle {
+// sweep removes workspaces that have been idle for long.
+func (l *ledger) sweep(now time.Time) {
+	if now.Sub(l.lastSweep) < idleTimeout {
 		return
 	}
-	b.swept = now
-	for name, a := range b.spent {
-		if now.Sub(a.used) > idle {
-			delete(b.spent, name)
+	l.lastSweep = now
+	for name, a := range l.spent {
+		if now.Sub(a.lastUsed) > idleTimeout {
+			delete(l.spent, name)
 		}
 	}
 }
--- a/throttler/doc.go
+++ b/throttler/doc.go
@@ -1,32 +1,33 @@
-// Package throttler bounds what each workspace may ask of the whole fleet, as a token
-// bucket whose tokens are made by all processes and spent at one.
+// Package throttler limits the rate of each workspace's operations across the whole
+// fleet. A workspace has a token bucket whose tokens are produced by all processes and
+// spent at one.
 //
-// Every process makes the same part of every workspace's tokens: of n processes, each
-// makes one nth of them, for as long as it runs. It makes no tokens one by one but gives
-// away time: the span since it last gave some. Workspaces are divided among shards, and
-// each shard has a holder, a process that collects such spans from all and grants
-// operations for them. A token can be spent only for as long after it was made as its
-// quota's burst lasts at its rate, so that nothing needs to be handed over when the
-// holder changes: what the old one holds ends by itself.
+// Every process produces the same part of every workspace's tokens: of n processes, each
+// produces one nth of them, for as long as it runs. It does not produce single tokens but
+// credits time: the span since its last credit. Workspaces are divided among shards, and
+// each shard has an owner, a process that collects the spans of all processes and grants
+// operations for them. A token expires a fixed time after it was produced: the time in
+// which its quota's rate produces the burst. So nothing needs to be handed over when the
+// owner changes: the tokens of the old one expire by themselves.
 //
-// A process that doesn't know yet how many there are makes none.
+// A process that does not know yet how large the fleet is produces no tokens.
 //
-// So the bound doesn't rest on who believes to be the holder. Two halves of a fleet that
-// is cut in two have two holders of a shard, each with the tokens of its half. A process
-// that starts again begins to make tokens when it starts. A span that is lost, late or
-// given to a holder that dies is lost. Where the bound would be in doubt, fewer are
-// granted.
+// So the limit does not depend on which processes consider themselves owners. Two halves
+// of a partitioned fleet have two owners of a shard, each with the tokens of its half. A
+// process that restarts begins to produce tokens when it starts. A span is lost if its
+// message is lost or late, or if its owner dies. Where the limit would be in doubt, fewer
+// operations are granted.
 //
-// The package decides and doesn't send: a Node takes events and returns what is to be
-// sent. It has no clock of its own; times are those of a clock that also counts the time
+// The package decides and does not send: a Node takes events and returns the messages to
+// send. It has no clock of its own; times are those of a clock that also counts the time
 // in which the machine is suspended.
 //
 // # Usage
 //
-//	n := &throttler.Node{Self: name, Terms: terms}
-//	n.Join(self, others, size, now)
-//	send(n.Tick(now)) // some times in a Period
+//	n := &throttler.Node{Self: name, Tolerance: tolerance}
+//	n.SetFleet(self, others, size, now)
+//	send(n.Tick(now)) // several times in a CreditInterval
 //	send(n.Receive(message, from, quotas, now))
-//	holder, remote := n.Holder(workspace)
-//	verdict, out := n.Take(workspace, quota, now) // at the holder
+//	owner, remote := n.Owner(workspace)
+//	verdict, out := n.Take(workspace, quota, now) // at the owner
 package throttler
--- a/throttler/fleet_test.go
+++ b/throttler/fleet_test.go
@@ -10,32 +10,32 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// step is how often the fleet's processes look after themselves.
-const step = 100 * time.Millisecond
+// tickInterval is the time between two ticks of a process.
+const tickInterval = 100 * time.Millisecond
 
 // process is one process of a simulated fleet.
 type process struct {
-	node    *Node
-	address netip.AddrPort
-	skew    time.Duration // of its clock
-	offset  time.Duration // of its steps
-	down    bool
-	cut     int // which part of the fleet it reaches
-	words   map[uint64]func(Verdict)
+	node      *Node
+	address   netip.AddrPort
+	skew      time.Duration // of its clock
+	offset    time.Duration // of its ticks
+	down      bool
+	partition int // the part of the fleet that it reaches
+	pending   map[uint64]func(Verdict)
 }
 
-// event is something that happens at a moment.
+// event is an action at a moment.
 type event struct {
-	at   time.Time
-	turn int
-	do   func()
+	at     time.Time
+	order  int
+	action func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].turn < e[j].turn
+	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].order < e[j].order
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -46,17 +46,17 @@
 	return last
 }
 
-// fleet plays processes in virtual time.
+// fleet simulates processes in virtual time.
 type fleet struct {
 	now       time.Time
 	rng       *rand.Rand
-	terms     Tolerance
+	tolerance Tolerance
 	quota     cataloger.Quota
-	lost      float64 // part of the messages
-	slowest   time.Duration
+	lossRate  float64 // part of the messages
+	maxDelay  time.Duration
 	processes []*process
 	queue     events
-	turn      int
+	order     int
 	asked     uint64
 	sent      int
 	// granted is when each operation was granted, refused counts the others.
@@ -64,9 +64,9 @@
 	refused int
 }
 
-func newFleet(n int, terms Tolerance, quota cataloger.Quota, seed uint64) *fleet {
+func newFleet(n int, tol Tolerance, quota cataloger.Quota, seed uint64) *fleet {
 	f := &fleet{
-		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, quota: quota, slowest: 2 * time.Millisecond,
+		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), tolerance: tol, quota: quota, maxDelay: 2 * time.Millisecond,
 	}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7440)
@@ -79,22 +79,22 @@
 
 func (f *fleet) name(p *process) string { return p.address.Addr().String() }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.turn++
-	heap.Push(&f.queue, event{f.now.Add(d), f.turn, do})
+func (f *fleet) after(d time.Duration, action func()) {
+	f.order++
+	heap.Push(&f.queue, event{f.now.Add(d), f.order, action})
 }
 
-// start starts a process that knows nothing of before.
+// start starts a process without any state of an earlier start.
 func (f *fleet) start(p *process) {
 	p.down = false
-	p.words = map[uint64]func(Verdict){}
-	node := &Node{Self: f.name(p), Tolerance: f.terms, StartedAt: f.now.Add(p.skew), IsFleetKnown: true}
+	p.pending = map[uint64]func(Verdict){}
+	node := &Node{Self: f.name(p), Tolerance: f.tolerance, StartedAt: f.now.Add(p.skew), IsFleetKnown: true}
 	p.node = node
-	f.after(p.offset, func() { f.look(p, node) })
+	f.after(p.offset, func() { f.tick(p, node) })
 }
 
-// look is a process's step. Those that are cut off stay on the list of the fleet.
-func (f *fleet) look(p *process, node *Node) {
+// tick runs a process's tick. Processes that are cut off stay in the fleet.
+func (f *fleet) tick(p *process, node *Node) {
 	if p.down || p.node != node {
 		return
 	}
@@ -109,18 +109,18 @@
 		node.SetFleet(Member{Name: f.name(p)}, others, len(f.processes), now)
 	}
 	f.send(p, node.Tick(now))
-	f.after(step, func() { f.look(p, node) })
+	f.after(tickInterval, func() { f.tick(p, node) })
 }
 
 func (f *fleet) send(from *process, out []Envelope) {
 	for _, e := range out {
 		f.sent++
 		to := f.at(e.To)
-		if from.cut != to.cut || f.rng.Float64() < f.lost {
+		if from.partition != to.partition || f.rng.Float64() < f.lossRate {
 			continue
 		}
-		way := time.Millisecond/2 + time.Duration(f.rng.Int64N(int64(f.slowest)))
-		f.after(way, func() { f.receive(to, e.Message, from.address) })
+		transit := time.Millisecond/2 + time.Duration(f.rng.Int64N(int64(f.maxDelay)))
+		f.after(transit, func() { f.receive(to, e.Message, from.address) })
 	}
 }
 
@@ -134,9 +134,9 @@
 		return
 	}
 	if m.Kind == Reply {
-		if word := p.words[m.ID]; word != nil {
-			delete(p.words, m.ID)
-			word(m.Verdict)
+		if reply := p.pending[m.ID]; reply != nil {
+			delete(p.pending, m.ID)
+			reply(m.Verdict)
 		}
 		return
 	}
@@ -144,19 +144,19 @@
 	f.send(p, p.node.Receive(&m, from, quota, f.now.Add(p.skew)))
 }
 
-// ask has a process ask for a token, as long as there is patience.
-func (f *fleet) ask(p *process, workspace string, patience time.Duration) {
+// request makes a process request a token, and repeat that until timeLeft is used up.
+func (f *fleet) request(p *process, workspace string, timeLeft time.Duration) {
 	if p.down {
 		return
 	}
 	now := f.now.Add(p.skew)
-	holder, remote := p.node.Owner(workspace)
-	settle := func(v Verdict) {
+	owner, remote := p.node.Owner(workspace)
+	finish := func(v Verdict) {
 		switch {
 		case v.Granted:
 			f.granted = append(f.granted, f.now)
-		case v.Unsure && patience > v.RetryAfter:
-			f.after(max(v.RetryAfter, time.Millisecond), func() { f.ask(p, workspace, patience-max(v.RetryAfter, time.Millisecond)) })
+		case v.Unsure && timeLeft > v.RetryAfter:
+			f.after(max(v.RetryAfter, time.Millisecond), func() { f.request(p, workspace, timeLeft-max(v.RetryAfter, time.Millisecond)) })
 		default:
 			f.refused++
 		}
@@ -164,37 +164,37 @@
 	if !remote {
 		v, out := p.node.Take(workspace, f.quota, now)
 		f.send(p, out)
-		settle(v)
+		finish(v)
 		return
 	}
 	f.asked++
 	id := f.asked
-	p.words[id] = settle
-	f.send(p, []Envelope{{holder.Address, Message{Kind: Request, From: NewID(f.name(p)), To: NewID(holder.Name), ID: id, Workspace: workspace}}})
+	p.pending[id] = finish
+	f.send(p, []Envelope{{owner.Address, Message{Kind: Request, From: NewID(f.name(p)), To: NewID(owner.Name), ID: id, Workspace: workspace}}})
 	const timeout = 240 * time.Millisecond
 	f.after(timeout, func() {
-		if word := p.words[id]; word != nil {
-			delete(p.words, id)
-			p.node.OwnerTimedOut(NewID(holder.Name), f.now.Add(p.skew))
-			patience -= timeout
-			word(Verdict{Unsure: true})
+		if reply := p.pending[id]; reply != nil {
+			delete(p.pending, id)
+			p.node.OwnerTimedOut(NewID(owner.Name), f.now.Add(p.skew))
+			timeLeft -= timeout
+			reply(Verdict{Unsure: true})
 		}
 	})
 }
 
-// run plays until a moment.
+// run runs the simulation for a time.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
 		e := heap.Pop(&f.queue).(event)
 		f.now = e.at
-		e.do()
+		e.action()
 	}
 	f.now = end
 }
 
-// most returns how many operations were granted in the fullest window.
-func (f *fleet) most(window time.Duration) int {
+// maxGranted returns the largest number of operations granted in a window.
+func (f *fleet) maxGranted(window time.Duration) int {
 	most, first := 0, 0
 	for last, at := range f.granted {
 		for at.Sub(f.granted[first]) >= window {
@@ -205,12 +205,12 @@
 	return most
 }
 
-// allowed is how many operations the terms allow in a window.
+// allowed returns the number of operations that the tolerance allows in a window.
 func (f *fleet) allowed() float64 {
-	return (f.quota.Rate*f.terms.Window.Seconds()+f.quota.Burst)*(1+f.terms.Excess) + f.terms.Slack
+	return (f.quota.Rate*f.tolerance.Window.Seconds()+f.quota.Burst)*(1+f.tolerance.Excess) + f.tolerance.Slack
 }
 
-// load has operations arrive at some processes, at a rate in the mean.
+// load makes operations arrive at some processes, at a rate in the mean.
 func (f *fleet) load(rate float64, at []int, d time.Duration) {
 	end := f.now.Add(d)
 	var next func()
@@ -218,7 +218,7 @@
 		if f.now.After(end) {
 			return
 		}
-		f.ask(f.processes[at[f.rng.IntN(len(at))]], "w", 600*time.Millisecond)
+		f.request(f.processes[at[f.rng.IntN(len(at))]], "w", 600*time.Millisecond)
 		f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	next()
@@ -233,5 +233,5 @@
 }
 
 func (f *fleet) String() string {
-	return fmt.Sprintf("granted %d, refused %d, fullest window %d of %.0f", len(f.granted), f.refused, f.most(f.terms.Window), f.allowed())
+	return fmt.Sprintf("granted %d, refused %d, fullest window %d of %.0f", len(f.granted), f.refused, f.maxGranted(f.tolerance.Window), f.allowed())
 }
--- a/throttler/message.go
+++ b/throttler/message.go
@@ -7,62 +7,67 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds. A Gift gives time to a holder, which answers each with Thanks. An Request asks
-// it for a token, and is answered with a Reply. With a Claim a process that is asked, and
-// given too little to tell, says that it may be the holder.
+// The kinds. A Credit gives a span of time to an owner, which answers each with a
+// CreditAck. A Request asks the owner for a token, and is answered with a Reply. A process
+// that receives a Request and has too few credits to decide sends a Claim, which says
+// that it may be the owner.
 const (
-	Gift Kind = iota + 1
-	Thanks
+	Credit Kind = iota + 1
+	CreditAck
 	Request
 	Reply
 	Claim
 )
 
-// Message is what two processes tell each other. It travels as a CBOR array.
+// Message is a message between two processes. It is encoded as a CBOR array.
 type Message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
-	// From is the sender, and To whom it is meant for: addresses are used again.
+	// From is the sender and To the intended receiver. The receiver checks To, because
+	// addresses are reused.
 	From ID
 	To   ID
-	// ID pairs an answer with its question; no run of a process uses those of another.
+	// ID matches a Reply with its Request. A process that restarts does not reuse the IDs
+	// of its earlier starts.
 	ID    uint64
 	Shard int
-	// Workspace is that of an Ask.
+	// Workspace is that of a Request.
 	Workspace string
-	// Span is the time given, of one process of so many as Fleet says.
+	// Span is the credited time of one process, and Fleet the size of the fleet as the
+	// sender knows it.
 	Span  time.Duration
 	Fleet int
-	// Stamp is the holder's clock when it last thanked the giver, and Since how long ago
-	// the giver heard that. From both the holder knows how long a gift was under way.
-	Stamp   int64
-	Since   time.Duration
-	Verdict Verdict
-	// Leaving says with Thanks that the holder ends soon.
+	// OwnerClock is the owner's clock in its last CreditAck to the sender, and ClockAge the
+	// time since the sender received that. From both the owner computes how long a Credit
+	// was in transit.
+	OwnerClock int64
+	ClockAge   time.Duration
+	Verdict    Verdict
+	// Leaving says in a CreditAck that the owner is shutting down.
 	Leaving bool
 }
 
-// ErrUnread reports bytes that are no message.
-var ErrUnread = errors.New("throttler: message can't be read")
+// ErrMalformed marks errors of bytes that are not a message.
+var ErrMalformed = errors.New("throttler: malformed message")
 
-// Encode returns a message as bytes. Their first one isn't that of a CBOR map, by which
-// they are told apart from other datagrams of the same socket.
+// Encode encodes a message. The first byte is not that of a CBOR map, which tells it
+// apart from other datagrams of the same socket.
 func Encode(m *Message) ([]byte, error) {
 	b, err := cbor.Marshal(m)
 	return b, errors.Wrap(err, "throttler: encode")
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes what Encode wrote.
 func Decode(b []byte) (Message, error) {
 	var m Message
 	if err := cbor.Unmarshal(b, &m); err != nil {
-		return m, errors.Wrap(ErrUnread, err.Error())
+		return m, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if m.Shard < 0 || m.Shard >= Shards || m.Kind < Gift || m.Kind > Claim {
-		return m, errors.Wrapf(ErrUnread, "kind %d of shard %d", m.Kind, m.Shard)
+	if m.Shard < 0 || m.Shard >= Shards || m.Kind < Credit || m.Kind > Claim {
+		return m, errors.Wrapf(ErrMalformed, "kind %d of shard %d", m.Kind, m.Shard)
 	}
 	return m, nil
 }
--- a/throttler/node.go
+++ b/throttler/node.go
@@ -9,289 +9,291 @@
 )
 
 const (
-	// CreditInterval is the time between two gifts to a holder.
+	// CreditInterval is the time between two credits to an owner.
 	CreditInterval = 400 * time.Millisecond
-	// patience is how long a holder may take to thank for a gift before another one is
-	// taken in its place.
-	patience = 500 * time.Millisecond
-	// doubted is how long it may take when another process claims the shard.
-	doubted = 150 * time.Millisecond
-	// rememberFor is how long a verdict is remembered for an asker that didn't hear it.
-	rememberFor = time.Second
-	// claimEvery is the least time between two claims of a shard.
-	claimEvery = 200 * time.Millisecond
-	// shunFor is how long a holder that didn't answer is passed over.
-	shunFor = 2 * time.Second
-	// longestWay is how long a gift may have been under way. One that was held up counts
-	// for nothing: what was made then has ended meanwhile.
-	longestWay = 150 * time.Millisecond
+	// ackTimeout is the time without an ack of a credit after which another owner is
+	// chosen.
+	ackTimeout = 500 * time.Millisecond
+	// claimedAckTimeout replaces ackTimeout when another process claims the shard.
+	claimedAckTimeout = 150 * time.Millisecond
+	// replyRetention is how long a verdict is kept for a requester that did not receive it.
+	replyRetention = time.Second
+	// claimInterval is the minimum time between two claims of a shard.
+	claimInterval = 200 * time.Millisecond
+	// excludeDuration is how long a process that did not answer is not chosen as owner.
+	excludeDuration = 2 * time.Second
+	// maxTransit is the maximum time that a credit may have been in transit. A later one is
+	// dropped: the tokens of its span have expired meanwhile.
+	maxTransit = 150 * time.Millisecond
 )
 
-// Envelope is a message and where to send it.
+// Envelope is a message and the address to send it to.
 type Envelope struct {
 	To      netip.AddrPort
 	Message Message
 }
 
-// stamp is what a holder's clock said, and when that was heard.
-type stamp struct {
-	clock int64
-	heard time.Time
+// ownerClock is the clock of an owner's ack, and when that was received.
+type ownerClock struct {
+	clock      int64
+	receivedAt time.Time
 }
 
-// question is what an asker asks once, in as many messages as it takes.
-type question struct {
+// requestKey identifies a request, which may be sent in several messages.
+type requestKey struct {
 	from ID
 	id   uint64
 }
 
-// word is the answer to a question, and when it was given.
-type word struct {
-	verdict Verdict
-	given   time.Time
+// cachedReply is the verdict on a request, and when it was decided.
+type cachedReply struct {
+	verdict   Verdict
+	decidedAt time.Time
 }
 
-// Node is what one process knows and decides. Set the exported fields before the first
-// event. It isn't safe for concurrent use.
+// Node is the state of one process. Set the exported fields before the first event. It is
+// not safe for concurrent use.
 type Node struct {
 	Self      string
 	Tolerance Tolerance
-	// StartedAt is when the process started. It makes tokens from then on.
+	// StartedAt is when the process started. It produces tokens from then on.
 	StartedAt time.Time
-	// IsFleetKnown says that the process knows the whole fleet. Before that it makes no tokens:
-	// it would take the few that it has heard of for all, and its part for a larger one.
+	// IsFleetKnown says that the process knows the whole fleet. Before that it produces no
+	// tokens: it would take the few processes that it knows for the whole fleet, and so its
+	// part for a larger one.
 	IsFleetKnown bool
-	// Leaving says that the process ends soon: it asks givers to take another holder.
+	// Leaving says that the process is shutting down: it asks senders of credits to choose
+	// another owner.
 	Leaving bool
 
-	others  []Member
-	self    Member
-	fleet   int
-	census  census
-	joined  bool
-	given   [Shards]time.Time // up to when the time is given away
-	holders [Shards]Member    // by this process's belief
-	awaited map[ID]time.Time  // holders that owe thanks, and since when
-	shunned map[ID]time.Time  // until when
-	stamps  map[ID]stamp
-	bank    bank
-	gave    time.Time // when all holders last got something
-	claimed [Shards]time.Time
-	words   map[question]word
+	others        []Member
+	self          Member
+	fleetSize     int
+	sizeHistory   sizeHistory
+	joined        bool
+	creditedUntil [Shards]time.Time // up to when the time is credited
+	owners        [Shards]Member    // as this process computes them
+	ackDueSince   map[ID]time.Time  // since when an owner has not acked a credit
+	excludedUntil map[ID]time.Time  // until when a process is not chosen as owner
+	ownerClocks   map[ID]ownerClock
+	ledger        ledger
+	lastCredit    time.Time // when credits were last sent to all owners
+	lastClaim     [Shards]time.Time
+	replies       map[requestKey]cachedReply
 }
 
-// SetFleet takes in who is in the fleet: this process, the others that answer, and how many
-// there are in all, whether they answer or not. It is called when that changes, and once
-// a minute.
+// SetFleet sets the processes of the fleet: this one, the others that are alive, and the
+// number of all, whether they answer or not. Call it when these change, and once a minute.
 func (n *Node) SetFleet(self Member, others []Member, fleet int, now time.Time) {
 	if !n.joined {
 		n.joined = true
-		for i := range n.given {
-			n.given[i] = n.StartedAt
+		for i := range n.creditedUntil {
+			n.creditedUntil[i] = n.StartedAt
 		}
 	}
 	n.self, n.others = self, others
-	n.self.rank()
+	n.self.computeScores()
 	for i := range n.others {
-		n.others[i].rank()
+		n.others[i].computeScores()
 	}
-	n.fleet = n.census.count(max(fleet, len(others)+1), now)
-	n.elect(now)
+	n.fleetSize = n.sizeHistory.update(max(fleet, len(others)+1), now)
+	n.chooseOwners(now)
 }
 
-// elect decides who the holders are.
-func (n *Node) elect(now time.Time) {
-	for shard := range n.holders {
+// chooseOwners computes the owner of each shard.
+func (n *Node) chooseOwners(now time.Time) {
+	for shard := range n.owners {
 		best := &n.self
 		for i := range n.others {
 			m := &n.others[i]
-			if now.Before(n.shunned[m.id]) {
+			if now.Before(n.excludedUntil[m.id]) {
 				continue
 			}
 			if m.scores[shard] > best.scores[shard] {
 				best = m
 			}
 		}
-		n.holders[shard] = *best
+		n.owners[shard] = *best
 	}
 }
 
-// Owner returns whom to ask for the tokens of a workspace, and whether that is another
-// process.
+// Owner returns the process that owns a workspace's tokens, and whether that is another
+// one than this.
 func (n *Node) Owner(workspace string) (Member, bool) {
-	h := n.holders[Shard(workspace)]
-	return h, h.Name != n.self.Name
+	owner := n.owners[Shard(workspace)]
+	return owner, owner.Name != n.self.Name
 }
 
-// Tick is called several times in a Period. It gives the time since the last gift to
-// the holders once in a Period, and at once when one of them has changed.
+// Tick is called several times in a CreditInterval. It returns the credits to the owners
+// once in each CreditInterval, and at once when an owner has changed.
 func (n *Node) Tick(now time.Time) []Envelope {
 	if !n.joined {
 		return nil
 	}
-	changed := n.expire(now)
-	if !changed && now.Sub(n.gave) < CreditInterval {
+	changed := n.expireOwners(now)
+	if !changed && now.Sub(n.lastCredit) < CreditInterval {
 		return nil
 	}
-	n.gave = now
-	maps.DeleteFunc(n.words, func(_ question, w word) bool { return now.Sub(w.given) > rememberFor })
+	n.lastCredit = now
+	maps.DeleteFunc(n.replies, func(_ requestKey, r cachedReply) bool { return now.Sub(r.decidedAt) > replyRetention })
 	var out []Envelope
-	for shard := range n.holders {
-		if e, ok := n.give(shard, now); ok {
+	for shard := range n.owners {
+		if e, ok := n.credit(shard, now); ok {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// expire passes over holders that owe thanks, and reports whether others may be holders
-// now.
-func (n *Node) expire(now time.Time) bool {
+// expireOwners excludes owners whose acks are overdue and ends exclusions, and reports
+// whether owners were chosen anew.
+func (n *Node) expireOwners(now time.Time) bool {
 	changed := false
-	for id, since := range n.awaited {
-		if now.Sub(since) >= patience {
-			n.shun(id, now)
+	for id, since := range n.ackDueSince {
+		if now.Sub(since) >= ackTimeout {
+			n.exclude(id, now)
 			changed = true
 		}
 	}
-	for id, until := range n.shunned {
+	for id, until := range n.excludedUntil {
 		if !now.Before(until) {
-			delete(n.shunned, id)
+			delete(n.excludedUntil, id)
 			changed = true
 		}
 	}
 	if changed {
-		n.elect(now)
+		n.chooseOwners(now)
 	}
 	return changed
 }
 
-// OwnerTimedOut takes in that a holder hasn't answered an operation.
-func (n *Node) OwnerTimedOut(holder ID, now time.Time) {
-	n.shun(holder, now)
-	n.elect(now)
+// OwnerTimedOut records that an owner did not answer a request.
+func (n *Node) OwnerTimedOut(owner ID, now time.Time) {
+	n.exclude(owner, now)
+	n.chooseOwners(now)
 }
 
-func (n *Node) shun(holder ID, now time.Time) {
-	if n.shunned == nil {
-		n.shunned = map[ID]time.Time{}
+func (n *Node) exclude(owner ID, now time.Time) {
+	if n.excludedUntil == nil {
+		n.excludedUntil = map[ID]time.Time{}
 	}
-	n.shunned[holder] = now.Add(shunFor)
-	delete(n.awaited, holder)
-	delete(n.stamps, holder)
+	n.excludedUntil[owner] = now.Add(excludeDuration)
+	delete(n.ackDueSince, owner)
+	delete(n.ownerClocks, owner)
 }
 
-// give gives the time of a shard to its holder. One whose clock isn't known gets none
-// yet, and tells its clock with its thanks.
-func (n *Node) give(shard int, now time.Time) (Envelope, bool) {
-	h := n.holders[shard]
-	span := min(now.Sub(n.given[shard]), longestLife)
-	if h.Name == n.self.Name {
+// credit returns the credit of a shard's time to its owner. If the owner's clock is not
+// known yet, the credit has no span, and the ack to it brings the clock.
+func (n *Node) credit(shard int, now time.Time) (Envelope, bool) {
+	owner := n.owners[shard]
+	span := min(now.Sub(n.creditedUntil[shard]), maxTokenLife)
+	if owner.Name == n.self.Name {
 		if n.IsFleetKnown {
-			n.given[shard] = now
-			n.bank.deposit(shard, span, n.fleet, now)
+			n.creditedUntil[shard] = now
+			n.ledger.add(shard, span, n.fleetSize, now)
 		}
 		return Envelope{}, false
 	}
-	m := Message{Kind: Gift, From: n.self.id, To: h.id, Shard: shard, Fleet: n.fleet}
-	if s, known := n.stamps[h.id]; known && n.IsFleetKnown {
-		m.Span, m.Stamp, m.Since = span, s.clock, now.Sub(s.heard)
-		n.given[shard] = now
+	m := Message{Kind: Credit, From: n.self.id, To: owner.id, Shard: shard, Fleet: n.fleetSize}
+	if s, known := n.ownerClocks[owner.id]; known && n.IsFleetKnown {
+		m.Span, m.OwnerClock, m.ClockAge = span, s.clock, now.Sub(s.receivedAt)
+		n.creditedUntil[shard] = now
 	}
-	if n.awaited == nil {
-		n.awaited = map[ID]time.Time{}
+	if n.ackDueSince == nil {
+		n.ackDueSince = map[ID]time.Time{}
 	}
-	if _, waits := n.awaited[h.id]; !waits {
-		n.awaited[h.id] = now
+	if _, waiting := n.ackDueSince[owner.id]; !waiting {
+		n.ackDueSince[owner.id] = now
 	}
-	return Envelope{h.Address, m}, true
+	return Envelope{owner.Address, m}, true
 }
 
-// Receive takes in a message of the peer at an address, but for a Word, which is for
-// whoever has asked. The quota of a workspace is nil where it has none.
+// Receive handles a message from the peer at an address, except a Reply, which the caller
+// passes to the requester. The quota of a workspace is nil where it has none.
 func (n *Node) Receive(m *Message, from netip.AddrPort, quota func(workspace string) *cataloger.Quota, now time.Time) []Envelope {
 	self := NewID(n.Self)
 	if m.To != self {
 		return nil
 	}
 	switch m.Kind {
-	case Gift:
-		n.accept(m, now)
-		return []Envelope{{from, Message{Kind: Thanks, From: self, To: m.From, Shard: m.Shard, Stamp: now.UnixNano(), Leaving: n.Leaving}}}
-	case Thanks:
-		return n.thanked(m, now)
+	case Credit:
+		n.acceptCredit(m, now)
+		return []Envelope{{from, Message{Kind: CreditAck, From: self, To: m.From, Shard: m.Shard, OwnerClock: now.UnixNano(), Leaving: n.Leaving}}}
+	case CreditAck:
+		return n.handleAck(m, now)
 	case Request:
-		v, out := n.answer(m, quota(m.Workspace), now)
+		v, out := n.reply(m, quota(m.Workspace), now)
 		return append(out, Envelope{from, Message{Kind: Reply, From: self, To: m.From, ID: m.ID, Verdict: v}})
 	case Claim:
-		return n.doubt(m.Shard, now)
+		return n.handleClaim(m.Shard, now)
 	default:
 		return nil
 	}
 }
 
-// accept takes in a gift that wasn't under way for too long.
-func (n *Node) accept(m *Message, now time.Time) {
-	way := now.Sub(time.Unix(0, m.Stamp).Add(m.Since))
-	if m.Stamp == 0 || m.Fleet <= 0 || m.Span <= 0 || way > longestWay || way < -longestWay {
+// acceptCredit adds a credit to the ledger unless it was in transit for too long.
+func (n *Node) acceptCredit(m *Message, now time.Time) {
+	transit := now.Sub(time.Unix(0, m.OwnerClock).Add(m.ClockAge))
+	if m.OwnerClock == 0 || m.Fleet <= 0 || m.Span <= 0 || transit > maxTransit || transit < -maxTransit {
 		return
 	}
-	n.bank.deposit(m.Shard, min(m.Span, longestLife), max(m.Fleet, n.fleet), now)
+	n.ledger.add(m.Shard, min(m.Span, maxTokenLife), max(m.Fleet, n.fleetSize), now)
 }
 
-// thanked takes in that a holder lives, and gives it what it didn't get before its clock
-// was known.
-func (n *Node) thanked(m *Message, now time.Time) []Envelope {
-	delete(n.awaited, m.From)
+// handleAck records that an owner is alive, and sends it the credits that were held back
+// until its clock was known.
+func (n *Node) handleAck(m *Message, now time.Time) []Envelope {
+	delete(n.ackDueSince, m.From)
 	if m.Leaving {
 		n.OwnerTimedOut(m.From, now)
 		return nil
 	}
-	if n.stamps == nil {
-		n.stamps = map[ID]stamp{}
+	if n.ownerClocks == nil {
+		n.ownerClocks = map[ID]ownerClock{}
 	}
-	_, known := n.stamps[m.From]
-	n.stamps[m.From] = stamp{m.Stamp, now}
+	_, known := n.ownerClocks[m.From]
+	n.ownerClocks[m.From] = ownerClock{m.OwnerClock, now}
 	if known {
 		return nil
 	}
 	var out []Envelope
-	for shard, h := range n.holders {
-		if h.id != m.From {
+	for shard, owner := range n.owners {
+		if owner.id != m.From {
 			continue
 		}
-		if e, ok := n.give(shard, now); ok {
+		if e, ok := n.credit(shard, now); ok {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// answer returns the verdict on what a peer asks. One that asks again, since no word has
-// come, gets the same: a token more would be spent for each word that is lost or late.
-func (n *Node) answer(m *Message, quota *cataloger.Quota, now time.Time) (Verdict, []Envelope) {
-	asked := question{m.From, m.ID}
-	if w, known := n.words[asked]; known {
-		return w.verdict, nil
+// reply returns the verdict on a peer's request. A repeated request, sent because no reply
+// has arrived, gets the same verdict: else each reply that is lost or late would cost
+// another token.
+func (n *Node) reply(m *Message, quota *cataloger.Quota, now time.Time) (Verdict, []Envelope) {
+	key := requestKey{m.From, m.ID}
+	if r, known := n.replies[key]; known {
+		return r.verdict, nil
 	}
 	if quota == nil {
-		return Verdict{Unsure: true, RetryAfter: leastBack}, nil
+		return Verdict{Unsure: true, RetryAfter: minRetryAfter}, nil
 	}
 	v, out := n.Take(m.Workspace, *quota, now)
-	if n.words == nil {
-		n.words = map[question]word{}
+	if n.replies == nil {
+		n.replies = map[requestKey]cachedReply{}
 	}
-	n.words[asked] = word{v, now}
+	n.replies[key] = cachedReply{v, now}
 	return v, out
 }
 
-// claim tells all that this process is asked for the tokens of a shard: its holder may
-// have ended, which the others would notice only later.
-func (n *Node) claim(shard int, now time.Time) []Envelope {
-	if now.Sub(n.claimed[shard]) < claimEvery {
+// claimShard returns the claims that tell all others that this process gets requests for a
+// shard: its owner may have ended, which the others would notice only later.
+func (n *Node) claimShard(shard int, now time.Time) []Envelope {
+	if now.Sub(n.lastClaim[shard]) < claimInterval {
 		return nil
 	}
-	n.claimed[shard] = now
+	n.lastClaim[shard] = now
 	out := make([]Envelope, 0, len(n.others))
 	for i := range n.others {
 		out = append(out, Envelope{n.others[i].Address, Message{Kind: Claim, From: n.self.id, To: n.others[i].id, Shard: shard}})
@@ -299,26 +301,26 @@
 	return out
 }
 
-// doubt takes in that a process claims a shard. A holder that owes thanks is passed over
-// sooner then.
-func (n *Node) doubt(shard int, now time.Time) []Envelope {
-	h := n.holders[shard]
-	since, owes := n.awaited[h.id]
-	if !owes || now.Sub(since) < doubted {
+// handleClaim handles another process's claim of a shard. An owner that has not acked a
+// credit is excluded sooner then.
+func (n *Node) handleClaim(shard int, now time.Time) []Envelope {
+	owner := n.owners[shard]
+	since, unacked := n.ackDueSince[owner.id]
+	if !unacked || now.Sub(since) < claimedAckTimeout {
 		return nil
 	}
-	n.OwnerTimedOut(h.id, now)
-	if e, ok := n.give(shard, now); ok {
+	n.OwnerTimedOut(owner.id, now)
+	if e, ok := n.credit(shard, now); ok {
 		return []Envelope{e}
 	}
 	return nil
 }
 
-// Take spends a token of a workspace here.
+// Take spends a token of a workspace at this process.
 func (n *Node) Take(workspace string, q cataloger.Quota, now time.Time) (Verdict, []Envelope) {
-	v := n.bank.take(workspace, n.Tolerance.grade(q), now)
+	v := n.ledger.take(workspace, n.Tolerance.tokenLimit(q), now)
 	if !v.Unsure {
 		return v, nil
 	}
-	return v, n.claim(Shard(workspace), now)
+	return v, n.claimShard(Shard(workspace), now)
 }
--- a/throttler/node_test.go
+++ b/throttler/node_test.go
@@ -13,46 +13,46 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// histories is how many drawn histories are played; more are played by hand.
+// histories is the number of random histories that are simulated; run by hand with more.
 var histories = flag.Int("histories", 150, "drawn histories of a fleet")
 
 var (
-	terms = Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
-	small = cataloger.Quota{Rate: 5, Burst: 5}
-	large = cataloger.Quota{Rate: 117, Burst: 117}
+	tolerance = Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
+	small     = cataloger.Quota{Rate: 5, Burst: 5}
+	large     = cataloger.Quota{Rate: 117, Burst: 117}
 )
 
-// A workspace below its quota is served, whichever processes its operations arrive at;
-// one beyond it gets what it may have.
+// A workspace below its quota is served, whichever processes its operations arrive at, and
+// one above it gets its quota.
 func TestQuotasFollowTheLoad(t *testing.T) {
 	for _, quota := range []cataloger.Quota{small, large} {
 		for _, n := range []int{1, 9, 83} {
 			for _, at := range []int{1, 5, n} {
 				t.Run(fmt.Sprint(quota.Rate, " a second, ", min(at, n), " of ", n), func(t *testing.T) {
 					is := is.New(t)
-					f := newFleet(n, terms, quota, 1)
+					f := newFleet(n, tolerance, quota, 1)
 					f.run(4 * time.Second)
 					f.load(0.625*quota.Rate, all(min(at, n)), 20*time.Second)
 					f.run(21 * time.Second)
 					is.Equal(f.refused, 0)
 					f.load(4*quota.Rate, all(min(at, n)), 20*time.Second)
 					f.run(21 * time.Second)
-					is.True(float64(f.most(terms.Window)) <= f.allowed())
-					is.True(float64(f.most(20*time.Second)) >= 0.95*20*quota.Rate)
+					is.True(float64(f.maxGranted(tolerance.Window)) <= f.allowed())
+					is.True(float64(f.maxGranted(20*time.Second)) >= 0.95*20*quota.Rate)
 				})
 			}
 		}
 	}
 }
 
-// disturb has something happen to a fleet.
+// disturb injects a random fault.
 func disturb(f *fleet, rng *rand.Rand) {
 	p := f.processes[rng.IntN(len(f.processes))]
-	some := func(do func(*process)) {
+	forSome := func(action func(*process)) {
 		share := rng.Float64()
 		for _, p := range f.processes {
 			if rng.Float64() < share {
-				do(p)
+				action(p)
 			}
 		}
 	}
@@ -62,52 +62,52 @@
 		p.down = true
 		f.after(span, func() { f.start(p) })
 	case 1: // many end at once
-		some(func(p *process) {
+		forSome(func(p *process) {
 			p.down = true
 			f.after(span, func() { f.start(p) })
 		})
-	case 2: // the fleet is cut in two
-		some(func(p *process) { p.cut = 1 })
+	case 2: // the fleet is partitioned
+		forSome(func(p *process) { p.partition = 1 })
 		f.after(span, func() {
 			for _, p := range f.processes {
-				p.cut = 0
+				p.partition = 0
 			}
 		})
-	case 3: // the holder ends
-		holder, _ := p.node.Owner("w")
+	case 3: // the owner ends
+		owner, _ := p.node.Owner("w")
 		for _, p := range f.processes {
-			if f.name(p) == holder.Name {
+			if f.name(p) == owner.Name {
 				p.down = true
 				f.after(span, func() { f.start(p) })
 			}
 		}
 	case 4: // messages get lost
-		f.lost = rng.Float64() / 2
-		f.after(span, func() { f.lost = 0 })
+		f.lossRate = rng.Float64() / 2
+		f.after(span, func() { f.lossRate = 0 })
 	case 5: // messages are slow
-		f.slowest = time.Duration(1+rng.IntN(800)) * time.Millisecond
-		f.after(span, func() { f.slowest = 2 * time.Millisecond })
-	case 6: // a process ends at once, without a pause
+		f.maxDelay = time.Duration(1+rng.IntN(800)) * time.Millisecond
+		f.after(span, func() { f.maxDelay = 2 * time.Millisecond })
+	case 6: // a process restarts without a pause
 		f.start(p)
 	}
 }
 
-// Guards against more operations than a quota allows, in any window: while processes
-// end, are cut off or start anew, and messages are lost or late, at any moment.
-func TestNoWindowHoldsMoreThanTheQuotaAllows(t *testing.T) {
+// Guards against more operations than a quota allows, in any window: while processes end,
+// are cut off or restart, and messages are lost or late, at any moment.
+func TestQuotaHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(*histories) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		quota := cataloger.Quota{Rate: float64(1 + rng.IntN(150))}
 		quota.Burst = quota.Rate * (0.2 + 2*rng.Float64())
 		n := 1 + rng.IntN(9)
-		f := newFleet(n, terms, quota, seed)
+		f := newFleet(n, tolerance, quota, seed)
 		f.run(time.Duration(rng.IntN(3000)) * time.Millisecond)
 		f.load(quota.Rate*(0.5+6*rng.Float64()), all(n), 12*time.Second)
 		for range 1 + rng.IntN(6) {
 			f.after(time.Duration(rng.IntN(12000))*time.Millisecond, func() { disturb(f, rng) })
 		}
 		f.run(14 * time.Second)
-		if float64(f.most(terms.Window)) > f.allowed() {
+		if float64(f.maxGranted(tolerance.Window)) > f.allowed() {
 			t.Fatalf("seed %d: %d processes, %+v: %s", seed, n, quota, f)
 		}
 	}
@@ -115,9 +115,9 @@
 
 // Guards against a process that starts with a burst: a fleet that loses power again and
 // again would spend one each time.
-func TestAStartHandsOutNoBurst(t *testing.T) {
+func TestRestartGrantsNoBurst(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(9, terms, large, 1)
+	f := newFleet(9, tolerance, large, 1)
 	f.run(5 * time.Second)
 	f.load(8*large.Rate, all(9), 20*time.Second)
 	for range 10 {
@@ -126,20 +126,20 @@
 			f.start(p)
 		}
 	}
-	is.True(float64(f.most(terms.Window)) <= f.allowed())
+	is.True(float64(f.maxGranted(tolerance.Window)) <= f.allowed())
 }
 
-// Guards against a workspace that gets nothing while its holder is gone: the others
-// give their time to the next one.
-func TestTheNextHolderGrants(t *testing.T) {
+// Guards against a workspace that gets nothing after its owner has ended: the other
+// processes credit their time to the next owner.
+func TestNextOwnerGrants(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(83, terms, small, 1)
+	f := newFleet(83, tolerance, small, 1)
 	f.run(5 * time.Second)
-	holder, _ := f.processes[0].node.Owner("w")
+	owner, _ := f.processes[0].node.Owner("w")
 	f.load(0.625*small.Rate, all(83), 10*time.Second)
 	f.run(2 * time.Second)
 	for _, p := range f.processes {
-		p.down = f.name(p) == holder.Name
+		p.down = f.name(p) == owner.Name
 	}
 	before := len(f.granted)
 	f.run(2 * time.Second)
@@ -148,31 +148,31 @@
 	is.True(f.refused <= 4)
 }
 
-// Guards against a process that knows nobody and takes the whole quota for its own.
-func TestWhoKnowsNobodyGrantsNothing(t *testing.T) {
+// Guards against a process without peers that takes the whole quota for its own.
+func TestNodeWithoutFleetGrantsNothing(t *testing.T) {
 	is := is.New(t)
-	n := Node{Self: "a", Tolerance: terms}
+	n := Node{Self: "a", Tolerance: tolerance}
 	now := time.Unix(1000, 0)
 	for range 100 {
 		is.Equal(len(n.Tick(now)), 0)
 		v, _ := n.Take("w", small, now)
 		is.True(!v.Granted)
-		now = now.Add(step)
+		now = now.Add(tickInterval)
 	}
 }
 
 // Guards against a fleet that starts for the first time, in which each process takes
 // itself for the only one and grants the whole quota.
-func TestWhoDoesNotKnowTheFleetMakesNoTokens(t *testing.T) {
+func TestNodeWithPartialFleetMakesNoTokens(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	n := Node{Self: "a", Tolerance: terms, StartedAt: now}
+	n := Node{Self: "a", Tolerance: tolerance, StartedAt: now}
 	n.SetFleet(Member{Name: "a"}, nil, 1, now)
 	for range 10 {
 		n.Tick(now)
 		v, _ := n.Take("w", small, now)
 		is.True(!v.Granted && v.Unsure)
-		now = now.Add(step)
+		now = now.Add(tickInterval)
 	}
 	n.IsFleetKnown = true
 	n.SetFleet(Member{Name: "a"}, nil, 5, now)
@@ -184,36 +184,37 @@
 	is.True(granted <= 2) // its fifth of what can be spent at once
 }
 
-// Guards against a half of a fleet that forgets the other half, which goes on.
-func TestAFleetStaysAsLargeAsItWas(t *testing.T) {
+// Guards against one half of a partitioned fleet that stops counting the other half, which
+// still grants tokens.
+func TestFleetSizeIsRemembered(t *testing.T) {
 	is := is.New(t)
-	var c census
+	var h sizeHistory
 	now := time.Unix(1000, 0)
-	is.Equal(c.count(83, now), 83)
-	is.Equal(c.count(40, now.Add(time.Minute)), 83)
-	is.Equal(c.count(40, now.Add(9*time.Minute)), 83)
-	is.Equal(c.count(40, now.Add(11*time.Minute)), 40)
-	is.Equal(c.count(90, now.Add(11*time.Minute)), 90)
+	is.Equal(h.update(83, now), 83)
+	is.Equal(h.update(40, now.Add(time.Minute)), 83)
+	is.Equal(h.update(40, now.Add(9*time.Minute)), 83)
+	is.Equal(h.update(40, now.Add(11*time.Minute)), 40)
+	is.Equal(h.update(90, now.Add(11*time.Minute)), 90)
 }
 
-// Guards against a limit that was lowered and is kept only later.
-func TestALowerQuotaHoldsAtOnce(t *testing.T) {
+// Guards against a lowered limit that takes effect late.
+func TestLoweredQuotaAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(9, terms, large, 1)
+	f := newFleet(9, tolerance, large, 1)
 	f.run(4 * time.Second)
 	f.load(2*large.Rate, all(9), 30*time.Second)
 	f.run(10 * time.Second)
 	f.quota = small
-	f.run(terms.Window)
+	f.run(tolerance.Window)
 	f.granted = nil
 	f.run(15 * time.Second)
-	is.True(float64(f.most(terms.Window)) <= f.allowed())
+	is.True(float64(f.maxGranted(tolerance.Window)) <= f.allowed())
 }
 
-func TestMessagesTravel(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	m := Message{
-		Kind: Reply, From: NewID("a"), To: NewID("b"), ID: 7, Shard: 3, Workspace: "w", Span: time.Second, Fleet: 9, Stamp: 5, Since: time.Minute,
+		Kind: Reply, From: NewID("a"), To: NewID("b"), ID: 7, Shard: 3, Workspace: "w", Span: time.Second, Fleet: 9, OwnerClock: 5, ClockAge: time.Minute,
 		Verdict: Verdict{Unsure: true, RetryAfter: time.Second}, Leaving: true,
 	}
 	b, err := Encode(&m)
@@ -232,24 +233,24 @@
 	is.True(err != nil) // no such shard
 }
 
-// Guards against a word that is lost or late and costs the workspace two tokens.
-func TestAQuestionCostsOneToken(t *testing.T) {
+// Guards against a reply that is lost or late and costs the workspace two tokens.
+func TestRepeatedRequestCostsOneToken(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	n := Node{Self: "a", Tolerance: terms, StartedAt: now.Add(-time.Minute), IsFleetKnown: true}
+	n := Node{Self: "a", Tolerance: tolerance, StartedAt: now.Add(-time.Minute), IsFleetKnown: true}
 	n.SetFleet(Member{Name: "a"}, nil, 1, now)
 	n.Tick(now)
 	quota := func(string) *cataloger.Quota { return &small }
-	ask := func(id uint64) Verdict {
+	request := func(id uint64) Verdict {
 		m := Message{Kind: Request, From: NewID("b"), To: NewID("a"), ID: id, Workspace: "w"}
 		out := n.Receive(&m, netip.AddrPort{}, quota, now)
 		return out[len(out)-1].Message.Verdict
 	}
 	granted := 0
-	for ask(uint64(granted)).Granted {
+	for request(uint64(granted)).Granted {
 		granted++
 	}
 	is.True(granted > 2)
-	is.True(ask(0).Granted) // asked before
-	is.True(!ask(99).Granted)
+	is.True(request(0).Granted) // a repeated request
+	is.True(!request(99).Granted)
 }
--- a/throttler/ring.go
+++ b/throttler/ring.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// grain is how finely the time at which tokens were made is told apart.
-	grain = 50 * time.Millisecond
-	// grains is how many are remembered: more than the longest life.
-	grains = int64(longestLife/grain) + 2
+	// bucketWidth is the resolution of the time at which tokens were produced.
+	bucketWidth = 50 * time.Millisecond
+	// bucketCount is the number of buckets that are kept: more than maxTokenLife contains.
+	bucketCount = int64(maxTokenLife/bucketWidth) + 2
 )
 
-// ring holds a number for each of the latest grains of time. Its zero value is empty.
+// ring holds a number for each of the latest buckets of time. Its zero value is empty.
 type ring struct {
-	first int64 // the oldest grain that is held
-	held  [grains]float64
+	first  int64 // the oldest bucket that is held
+	values [bucketCount]float64
 }
 
-// grainOf returns the grain that a moment falls into.
-func grainOf(t time.Time) int64 { return t.UnixNano() / int64(grain) }
+// bucketOf returns the bucket that t falls into.
+func bucketOf(t time.Time) int64 { return t.UnixNano() / int64(bucketWidth) }
 
-// advance forgets what is older than the ring reaches back from a grain.
+// advance drops the buckets that are too old once latest is held.
 func (r *ring) advance(latest int64) {
-	first := latest - grains + 1
+	first := latest - bucketCount + 1
 	if first <= r.first {
 		return
 	}
-	if first-r.first >= grains {
-		clear(r.held[:])
+	if first-r.first >= bucketCount {
+		clear(r.values[:])
 	} else {
-		for g := r.first; g < first; g++ {
-			r.held[g%grains] = 0
+		for bucket := r.first; bucket < first; bucket++ {
+			r.values[bucket%bucketCount] = 0
 		}
 	}
 	r.first = first
 }
 
-// at returns the number of a grain, nil for one that isn't held.
-func (r *ring) at(g int64) *float64 {
-	if g < r.first || g >= r.first+grains {
+// at returns the number of a bucket, nil for one that is not held.
+func (r *ring) at(bucket int64) *float64 {
+	if bucket < r.first || bucket >= r.first+bucketCount {
 		return nil
 	}
-	return &r.held[g%grains]
+	return &r.values[bucket%bucketCount]
 }
--- a/throttler/terms.go
+++ b/throttler/terms.go
@@ -6,45 +6,47 @@
 	"basildale.example/basildale/cataloger"
 )
 
-// Tolerance say how quotas are judged: in any Window no more operations than rate, burst,
-// Excess and Slack allow. The zero value allows rate and burst in a second.
+// Tolerance says how exactly quotas hold: in any Window at most as many operations are
+// granted as rate, burst, Excess and Slack allow. The zero value allows rate and burst
+// in a second.
 type Tolerance struct {
 	Window time.Duration
-	// Excess is the part by which rate and burst may be exceeded, and Slack how many
-	// operations may come on top of that.
+	// Excess is the part by which rate and burst may be exceeded, and Slack the number of
+	// operations that may come on top of that.
 	Excess float64
 	Slack  float64
 }
 
 const (
 	defaultWindow = time.Second
-	// spent is the part of Excess and Slack that is granted. The rest covers that
-	// processes may differ in how many they are.
-	spent = 0.8
-	// A token can be spent for as long as the burst lasts at the rate, within these.
-	shortestLife = 500 * time.Millisecond
-	longestLife  = 5 * time.Second
+	// grantedShare is the part of Excess and Slack that is granted. The rest covers that
+	// processes may assume different sizes of the fleet.
+	grantedShare = 0.8
+	// A token can be spent for as long as the rate takes to produce the burst, within these
+	// bounds.
+	minTokenLife = 500 * time.Millisecond
+	maxTokenLife = 5 * time.Second
 )
 
-// grade is a quota as tokens: how many are made in a second, and for how long each can
-// be spent.
-type grade struct {
+// tokenLimit is a quota in tokens: how many are produced in a second, and for how long
+// each can be spent.
+type tokenLimit struct {
 	rate float64
 	life time.Duration
 }
 
-// grade returns a quota's tokens. In any window at most those are spent that were made
-// in it, or before it by no more than their life and the way to their holder.
-func (t Tolerance) grade(q cataloger.Quota) grade {
+// tokenLimit returns a quota in tokens. The tokens spent in any window were produced in
+// it, or before it by at most their life and the time in transit to their owner.
+func (t Tolerance) tokenLimit(q cataloger.Quota) tokenLimit {
 	if q.Rate <= 0 {
-		return grade{}
+		return tokenLimit{}
 	}
 	window := t.Window
 	if window == 0 {
 		window = defaultWindow
 	}
 	life := time.Duration(q.Burst / q.Rate * float64(time.Second))
-	life = min(max(life, shortestLife), longestLife)
-	allowed := (q.Rate*window.Seconds()+q.Burst)*(1+spent*t.Excess) + spent*t.Slack
-	return grade{allowed / (window + life + longestWay).Seconds(), life}
+	life = min(max(life, minTokenLife), maxTokenLife)
+	allowed := (q.Rate*window.Seconds()+q.Burst)*(1+grantedShare*t.Excess) + grantedShare*t.Slack
+	return tokenLimit{allowed / (window + life + maxTransit).Seconds(), life}
 }
