--- a/forwarder/affinity_test.go
+++ b/forwarder/affinity_test.go
@@ -11,25 +11,25 @@
 	"basildale.example/basildale/gossiper"
 )
 
-func (f *fleet) runFor(workspace string) carrier.Answer {
+func (f *fleet) runForWorkspace(workspace string) carrier.Answer {
 	runner, _ := f.Group("g")
 	return runner.Run(&carrier.Job{Workspace: workspace, Arrived: f.now, Deadline: time.Now().Add(time.Second)}, carrier.Command{Verb: carrier.Read, ID: "r"})
 }
 
-// A workspace's statements of a group go to one proxy, those of many to all of them.
-func TestAWorkspaceHasAProxyOfItsOwn(t *testing.T) {
+// A workspace's statements of a group go to one proxy, those of many workspaces to all.
+func TestWorkspaceHasItsOwnGateway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("a", "b", "c", "home")
 	used := map[string]int{}
 	for i := range 200 {
 		workspace := fmt.Sprint("w", i)
-		f.asked = nil
+		f.called = nil
 		for range 3 {
-			is.Equal(f.runFor(workspace).Code, carrier.OK)
+			is.Equal(f.runForWorkspace(workspace).Code, carrier.OK)
 		}
-		is.Equal(f.asked[0], f.asked[1])
-		is.Equal(f.asked[0], f.asked[2])
-		used[f.asked[0].String()]++
+		is.Equal(f.called[0], f.called[1])
+		is.Equal(f.called[0], f.called[2])
+		used[f.called[0].String()]++
 	}
 	is.Equal(len(used), 4)
 	for _, n := range used {
@@ -37,35 +37,35 @@
 	}
 }
 
-// Guards against a workspace whose statements fail while its proxy is away: the next in
-// its order carries them, and always the same one.
-func TestTheNextInOrderCarries(t *testing.T) {
+// Guards against a workspace whose statements fail while its proxy is away: the next proxy
+// in its order runs them, and always the same one.
+func TestNextInOrderReplacesLostGateway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("a", "b", "c")
-	is.Equal(f.runFor("w").Code, carrier.OK)
-	first := f.asked[0]
-	f.fails[first] = errLost
-	f.asked = nil
-	is.Equal(f.runFor("w").Code, carrier.OK)
-	is.Equal(f.asked[0], first)
-	second := f.asked[1]
+	is.Equal(f.runForWorkspace("w").Code, carrier.OK)
+	first := f.called[0]
+	f.sendErrors[first] = errLost
+	f.called = nil
+	is.Equal(f.runForWorkspace("w").Code, carrier.OK)
+	is.Equal(f.called[0], first)
+	second := f.called[1]
 	is.True(second != first)
 	f.now = f.now.Add(time.Second)
-	f.asked = nil
-	is.Equal(f.runFor("w").Code, carrier.OK)
-	is.Equal(f.asked[0], second)
+	f.called = nil
+	is.Equal(f.runForWorkspace("w").Code, carrier.OK)
+	is.Equal(f.called[0], second)
 }
 
-// Guards against work for the leader at a proxy that doesn't reach it.
-func TestAProxyThatReachesTheLeaderGoesFirst(t *testing.T) {
+// Guards against statements for the leader at a proxy that does not reach it.
+func TestGatewayThatReachesLeaderGoesFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("a", "b", "c")
 	for _, p := range f.peers[:2] {
 		p.Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
 	}
 	for i := range 20 {
-		f.asked = nil
-		is.Equal(f.runFor(fmt.Sprint("w", i)).Code, carrier.OK)
-		is.Equal(f.asked[0], at(2))
+		f.called = nil
+		is.Equal(f.runForWorkspace(fmt.Sprint("w", i)).Code, carrier.OK)
+		is.Equal(f.called[0], at(2))
 	}
 }
--- a/forwarder/candidate.go
+++ b/forwarder/candidate.go
@@ -7,67 +7,69 @@
 	"basildale.example/basildale/gossiper"
 )
 
-// Candidate is a peer that carries for a group.
+// Candidate is a peer that is a gateway of a group.
 type Candidate struct {
 	Name     string
 	Zone     string
 	Address  netip.AddrPort // for statements
 	LastSeen time.Time
-	// LeaderFault is what it said lately of the group's leader, if Known.
+	// LeaderFault is the fault of the group's leader that the peer last reported, if
+	// IsFaultKnown.
 	LeaderFault  gossiper.LeaderFault
 	IsFaultKnown bool
 }
 
 const (
-	// noted is how long what a peer said with an answer counts. While a leader is
-	// replaced each statement would ask all carriers anew; and one that waits for the
-	// next leader mustn't pass over for longer who has found it.
-	noted = 200 * time.Millisecond
-	// mostNoted bounds what is remembered, in a fleet of any size.
-	mostNoted = 1024
+	// reportTTL is how long a fault that a peer reported with an answer is used. Without
+	// it each statement would query all gateways again while a leader is replaced. With a
+	// longer one a statement that waits for the next leader would skip a peer that has
+	// found it.
+	reportTTL = 200 * time.Millisecond
+	// maxReports bounds the number of reports that are kept, in a fleet of any size.
+	maxReports = 1024
 )
 
-// subject is what a peer's word is about.
-type subject struct {
+// reportKey identifies the peer and group of a report.
+type reportKey struct {
 	peer  netip.AddrPort
 	group string
 }
 
-// note is what a peer said, and until when it counts.
-type note struct {
-	trouble gossiper.LeaderFault
-	until   time.Time
+// report is a fault that a peer reported, and until when it is used.
+type report struct {
+	fault      gossiper.LeaderFault
+	validUntil time.Time
 }
 
-// note takes in what a peer says of a group's leader with an answer. A process that
-// doesn't carry for a group hears of it by this.
-func (f *Forwarder) note(group string, p Candidate, trouble gossiper.LeaderFault) {
+// addReport records the fault that a peer reported with an answer. A process that is not
+// a gateway of the group learns of faults this way.
+func (f *Forwarder) addReport(group string, p Candidate, fault gossiper.LeaderFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	key := subject{p.Address, group}
-	if trouble == gossiper.NoFault {
-		delete(f.noted, key)
+	key := reportKey{p.Address, group}
+	if fault == gossiper.NoFault {
+		delete(f.reports, key)
 		return
 	}
-	if f.noted == nil || len(f.noted) >= mostNoted {
-		f.noted = map[subject]note{}
+	if f.reports == nil || len(f.reports) >= maxReports {
+		f.reports = map[reportKey]report{}
 	}
-	f.noted[key] = note{trouble, f.Now().Add(noted)}
+	f.reports[key] = report{fault, f.Now().Add(reportTTL)}
 }
 
-// word returns what a peer said lately of a group's leader, with an answer or by
-// gossip, and whether it said anything.
-func (f *Forwarder) word(group string, p Candidate, now time.Time) (gossiper.LeaderFault, bool) {
+// reportedFault returns the fault of a group's leader that a peer reported lately, with
+// an answer or by gossip, and whether it reported any state.
+func (f *Forwarder) reportedFault(group string, p Candidate, now time.Time) (gossiper.LeaderFault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n, ok := f.noted[subject{p.Address, group}]; ok && now.Before(n.until) {
-		return n.trouble, true
+	if r, ok := f.reports[reportKey{p.Address, group}]; ok && now.Before(r.validUntil) {
+		return r.fault, true
 	}
 	return p.LeaderFault, p.IsFaultKnown
 }
 
-// trouble returns what is wrong with a group's leader at a peer, as far as is known.
-func (f *Forwarder) trouble(group string, p Candidate, now time.Time) gossiper.LeaderFault {
-	trouble, _ := f.word(group, p, now)
-	return trouble
+// leaderFault returns the fault of a group's leader as seen by a peer, as far as is known.
+func (f *Forwarder) leaderFault(group string, p Candidate, now time.Time) gossiper.LeaderFault {
+	fault, _ := f.reportedFault(group, p, now)
+	return fault
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -19,104 +19,105 @@
 
 // Bounds of forwarding.
 const (
-	// shunFor is how long a peer that didn't answer is passed over, unless it is heard
-	// of again before.
-	shunFor = 5 * time.Second
-	// hops bounds how many peers one statement is offered to.
-	hops = 3
-	// sampleTimeout bounds the question for a sample: a way to a peer, and from
+	// skipDuration is how long a peer that did not answer is skipped, unless a datagram of
+	// it is received before.
+	skipDuration = 5 * time.Second
+	// maxOffers is the maximum number of peers that a statement is offered to.
+	maxOffers = 3
+	// sampleTimeout bounds the request for a position sample: one trip to a peer, and from
 	// there to the leader.
 	sampleTimeout = 200 * time.Millisecond
-	// slack is what the peer's answer may be late by, beyond the statement's time.
-	slack = 50 * time.Millisecond
-	// recheck is the time until the second look whether this process or a peer can
-	// serve a statement that waits; each next one is twice as long, up to
-	// longestRecheck. A group is without a leader for 0.3 to 2 s.
-	recheck        = 50 * time.Millisecond
-	longestRecheck = 200 * time.Millisecond
+	// deadlineSlack is how late a peer's answer may be after the statement's deadline.
+	deadlineSlack = 50 * time.Millisecond
+	// minRecheckDelay is the delay before the first recheck whether this process or a peer
+	// can run a statement that waits. Each delay is twice the one before, up to
+	// maxRecheckDelay. A group is without a leader for 0.3 to 2 s.
+	minRecheckDelay = 50 * time.Millisecond
+	maxRecheckDelay = 200 * time.Millisecond
 )
 
-// Forwarder decides who carries, and asks peers. Set the exported fields before
-// the first use.
+// Forwarder decides which process runs statements, and sends them to peers. Set the
+// exported fields before the first use.
 type Forwarder struct {
-	// Local finds the groups of this process.
+	// Local returns a group of this process.
 	Local func(name string) (*carrier.Group, bool)
-	// Gateways returns the peers that carry for a group and that nobody says are silent.
+	// Gateways returns the peers that are gateways of a group, except those that the
+	// membership list has as suspect or dead.
 	Gateways func(group string) []Candidate
-	// LeaderFault, when set, returns what this process finds wrong with a group's leader.
+	// LeaderFault, when set, returns the fault of a group's leader as this process sees it.
 	LeaderFault func(group string) gossiper.LeaderFault
-	// Send hands a payload to the peer at an address and returns its answer.
+	// Send sends a payload to the peer at an address and returns its answer.
 	Send func(ctx context.Context, to netip.AddrPort, payload json.RawMessage) (json.RawMessage, error)
-	// Name and Zone are this process's, the latter its availability zone.
+	// Name is this process's name, and Zone its availability zone.
 	Name string
 	Zone string
 	// Now is the clock of package carrier.
 	Now func() time.Time
 	Log *zap.Logger
 
-	streams atomic.Uint64
-	serving server
+	streams      atomic.Uint64
+	transactions transactionTable
 
-	mu    sync.Mutex
-	lost  map[netip.AddrPort]time.Time // peers that didn't answer, and when
-	noted map[subject]note             // what peers said with their answers
+	mu        sync.Mutex
+	lostPeers map[netip.AddrPort]time.Time // peers that did not answer, and when
+	reports   map[reportKey]report         // faults that peers reported with answers
 }
 
-// ErrUnsent marks an error of Send after which the peer surely has heard nothing.
+// ErrUnsent marks an error of Send after which the peer cannot have received anything.
 var ErrUnsent = errors.New("forwarder: not sent")
 
-// Group returns what runs statements of a group, and whether the group is known.
+// Group returns the runner of a group's statements, and whether the group is known.
 func (f *Forwarder) Group(name string) (carrier.Runner, bool) {
 	g, ok := f.Local(name)
 	if !ok {
 		return nil, false
 	}
-	return &path{f: f, group: g}, true
+	return &groupRunner{f: f, group: g}, true
 }
 
-// Sample asks a peer for a position of a group's leader that is taken after the
-// question.
+// Sample requests from a peer a position sample of a group's leader that is taken after
+// the request.
 func (f *Forwarder) Sample(group string) (tracker.Mark, bool) {
-	p, ok := f.peer(wish{group: group, leader: true})
+	p, ok := f.choosePeer(criteria{group: group, needsLeader: true})
 	if !ok {
 		return tracker.Mark{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), sampleTimeout)
 	defer cancel()
-	resp, err := f.ask(ctx, p, request{Action: takeSample, Group: group, Left: sampleTimeout})
+	resp, err := f.call(ctx, p, request{Action: takeSample, Group: group, Left: sampleTimeout})
 	if err != nil || resp.Refused || resp.Answer.Code != carrier.OK {
 		return tracker.Mark{}, false
 	}
 	return resp.Answer.Mark, true
 }
 
-// wish is what a peer is looked for.
-type wish struct {
-	group     string
-	workspace string
-	leader    bool                    // only the leader will do
-	tried     map[netip.AddrPort]bool // these are passed over
+// criteria are what a peer is chosen by.
+type criteria struct {
+	group       string
+	workspace   string
+	needsLeader bool                    // only a peer that reaches the leader qualifies
+	tried       map[netip.AddrPort]bool // peers to skip
 }
 
-// peer returns a peer that carries for a group and reaches its leader: one of
-// the own availability zone, if there is any, or the first in the order of the
-// statement's workspace. Where the leader isn't needed, one that
-// doesn't reach it will do when there is no other: while a leader is replaced all
-// carriers miss it, and their samples stay young enough for some seconds.
-func (f *Forwarder) peer(w wish) (Candidate, bool) {
+// choosePeer returns a gateway of a group that reaches its leader: one of the same
+// availability zone if there is any, or the first in the order of the statement's
+// workspace. Where the leader is not needed, a gateway that does not reach it will do
+// when there is no other: while a leader is replaced no gateway reaches it, and their
+// position samples stay young enough for some seconds.
+func (f *Forwarder) choosePeer(c criteria) (Candidate, bool) {
 	var best []Candidate
 	rank := 0
 	now := f.Now()
-	for _, p := range f.Gateways(w.group) {
-		if !p.Address.IsValid() || w.tried[p.Address] || f.shunned(p, now) {
+	for _, p := range f.Gateways(c.group) {
+		if !p.Address.IsValid() || c.tried[p.Address] || f.isSkipped(p, now) {
 			continue
 		}
-		reaches := f.trouble(w.group, p, now).IsLeaderReachable()
+		reaches := f.leaderFault(c.group, p, now).IsLeaderReachable()
 		own := f.rank(p, reaches)
 		switch {
-		case w.leader && !reaches, own < rank && w.workspace == "":
-		case w.workspace != "" && len(best) > 0 && !f.precedes(w, p, best[0], now):
-		case w.workspace != "" || own > rank:
+		case c.needsLeader && !reaches, own < rank && c.workspace == "":
+		case c.workspace != "" && len(best) > 0 && !f.precedes(c, p, best[0], now):
+		case c.workspace != "" || own > rank:
 			best, rank = []Candidate{p}, own
 		default:
 			best = append(best, p)
@@ -128,8 +129,8 @@
 	return best[rand.IntN(len(best))], true
 }
 
-// rank says how good a peer is for a statement: one that reaches the leader before one
-// that doesn't, then one of the own availability zone before others.
+// rank rates a peer for a statement: one that reaches the leader ranks higher than one
+// that does not, then one of the same availability zone higher than others.
 func (f *Forwarder) rank(p Candidate, reaches bool) int {
 	rank := 0
 	if reaches {
@@ -141,79 +142,81 @@
 	return rank
 }
 
-// HasLiveGateway reports whether a live peer carries for a group, whatever it finds of the
-// leader: while that is being replaced all carriers find it bad, and a process that
-// took itself for cut off would go to the upstreams on its own.
+// HasLiveGateway reports whether a live peer is a gateway of a group, whatever fault of
+// the leader it reports: while the leader is replaced all gateways report one, and a
+// process that considered itself cut off would go to the upstreams directly.
 func (f *Forwarder) HasLiveGateway(group string) bool {
 	now := f.Now()
 	for _, p := range f.Gateways(group) {
-		if !f.shunned(p, now) {
+		if !f.isSkipped(p, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// Blind reports whether every peer that carries for a group, as far as is known, is cut
-// off from whichever upstream leads next. Waiting for them is in vain: see the comment
-// in carrier. Where one of them says nothing lately, as many as a statement is offered
-// to have to say so.
-func (f *Forwarder) Blind(group string) bool {
-	blind, silent := 0, 0
+// AreGatewaysIsolated reports whether every gateway of a group, as far as is known, is
+// cut off from whichever upstream leads next. Waiting for them is useless then: the caller
+// does better to go to a process on the other side of the partition. If some gateways
+// have not reported lately, at least maxOffers others have to report that they are
+// isolated.
+func (f *Forwarder) AreGatewaysIsolated(group string) bool {
+	isolated, unknown := 0, 0
 	now := f.Now()
 	for _, p := range f.Gateways(group) {
-		trouble, known := f.word(group, p, now)
+		fault, known := f.reportedFault(group, p, now)
 		switch {
 		case !known:
-			silent++
-		case trouble != gossiper.Isolated:
+			unknown++
+		case fault != gossiper.Isolated:
 			return false
 		default:
-			blind++
+			isolated++
 		}
 	}
-	return blind > 0 && (silent == 0 || blind >= hops)
+	return isolated > 0 && (unknown == 0 || isolated >= maxOffers)
 }
 
-// shunned reports whether a peer didn't answer lately and hasn't been heard since.
-func (f *Forwarder) shunned(p Candidate, now time.Time) bool {
+// isSkipped reports whether a peer did not answer lately and no datagram of it was
+// received since.
+func (f *Forwarder) isSkipped(p Candidate, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, lost := f.lost[p.Address]
-	return lost && now.Sub(at) < shunFor && !p.LastSeen.After(at)
+	at, lost := f.lostPeers[p.Address]
+	return lost && now.Sub(at) < skipDuration && !p.LastSeen.After(at)
 }
 
-// miss passes a peer over for a while.
-func (f *Forwarder) miss(p Candidate, err error) {
-	f.Log.Info("forwarder: peer lost", zap.String("peer", p.Name), zap.Duration("heard", f.Now().Sub(p.LastSeen)), zap.Error(err))
+// markLost makes a peer that did not answer be skipped for a while.
+func (f *Forwarder) markLost(p Candidate, err error) {
+	f.Log.Info("forwarder: peer did not answer", zap.String("peer", p.Name), zap.Duration("heard", f.Now().Sub(p.LastSeen)), zap.Error(err))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost == nil {
-		f.lost = map[netip.AddrPort]time.Time{}
+	if f.lostPeers == nil {
+		f.lostPeers = map[netip.AddrPort]time.Time{}
 	}
-	f.lost[p.Address] = f.Now()
+	f.lostPeers[p.Address] = f.Now()
 }
 
-// ask sends a request to a peer.
-func (f *Forwarder) ask(ctx context.Context, p Candidate, r request) (response, error) {
+// call sends a request to a peer and returns its response.
+func (f *Forwarder) call(ctx context.Context, p Candidate, r request) (response, error) {
 	payload, err := json.Marshal(r)
 	if err != nil {
-		return response{}, errors.Wrap(err, "forwarder: request")
+		return response{}, errors.Wrap(err, "forwarder: encode request")
 	}
 	answer, err := f.Send(ctx, p.Address, payload)
 	if err != nil {
-		f.miss(p, err)
+		f.markLost(p, err)
 		return response{}, err
 	}
 	var resp response
 	if err = json.Unmarshal(answer, &resp); err != nil {
-		return response{}, errors.Wrap(err, "forwarder: response")
+		return response{}, errors.Wrap(err, "forwarder: decode response")
 	}
-	f.note(r.Group, p, resp.Trouble)
+	f.addReport(r.Group, p, resp.LeaderFault)
 	return resp, nil
 }
 
-// bounded returns a context that ends a little after a job's time.
-func bounded(j *carrier.Job) (context.Context, context.CancelFunc) {
-	return context.WithDeadline(context.Background(), j.Deadline.Add(slack))
+// withDeadline returns a context that ends a little after a job's deadline.
+func withDeadline(j *carrier.Job) (context.Context, context.CancelFunc) {
+	return context.WithDeadline(context.Background(), j.Deadline.Add(deadlineSlack))
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -18,14 +18,14 @@
 
 var errLost = errors.New("connection lost")
 
-// fleet is a process that carries nothing itself, and peers that do.
+// fleet is a process that is not a gateway itself, and peers that are.
 type fleet struct {
 	Forwarder
 	now   time.Time
 	peers []gossiper.Peer
-	// fails says what sending to a peer ends with; the others answer.
-	fails map[netip.AddrPort]error
-	asked []netip.AddrPort
+	// sendErrors holds the error of sending to a peer; the others answer.
+	sendErrors map[netip.AddrPort]error
+	called     []netip.AddrPort
 }
 
 func at(i byte) netip.AddrPort {
@@ -33,7 +33,7 @@
 }
 
 func newFleet(zones ...string) *fleet {
-	f := &fleet{now: time.Unix(1000, 0), fails: map[netip.AddrPort]error{}}
+	f := &fleet{now: time.Unix(1000, 0), sendErrors: map[netip.AddrPort]error{}}
 	c := &carrier.Registry{Now: func() time.Time { return f.now }, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": 0} }}
 	c.DivideConnections(10, []cataloger.GroupSettings{{Name: "g", MaxConnections: 40}})
 	c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
@@ -44,12 +44,12 @@
 	}
 	f.Local, f.Zone, f.Log = c.Group, "home", zap.NewNop()
 	f.Now = func() time.Time { return f.now }
-	f.Gateways = f.carriers
+	f.Gateways = f.gateways
 	f.Send = f.send
 	return f
 }
 
-func (f *fleet) carriers(group string) []Candidate {
+func (f *fleet) gateways(group string) []Candidate {
 	var out []Candidate
 	for _, p := range f.peers {
 		if state := p.Groups[group]; state.IsGateway {
@@ -60,8 +60,8 @@
 }
 
 func (f *fleet) send(_ context.Context, to netip.AddrPort, _ json.RawMessage) (json.RawMessage, error) {
-	f.asked = append(f.asked, to)
-	if err := f.fails[to]; err != nil {
+	f.called = append(f.called, to)
+	if err := f.sendErrors[to]; err != nil {
 		return nil, err
 	}
 	return json.Marshal(response{Answer: carrier.Answer{Signature: "s"}})
@@ -72,173 +72,172 @@
 	return runner.Run(&carrier.Job{Writes: writes, Arrived: f.now, Deadline: time.Now().Add(time.Second)}, carrier.Command{Verb: carrier.Read, ID: "r"})
 }
 
-func TestPeersOfTheOwnZoneGoFirst(t *testing.T) {
+func TestPeersOfOwnZoneGoFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("away", "home")
 	for range 10 {
 		is.Equal(f.run(false).Code, carrier.OK)
 	}
-	for _, to := range f.asked {
+	for _, to := range f.called {
 		is.Equal(to, at(1))
 	}
 }
 
-// Symptom: a booking is told to be in doubt that nobody has heard of. Sequence: the
-// peer that was to carry it can't be reached. Cause: a call that was never sent is
-// taken for one whose answer is lost.
-func TestAWriteThatWasNeverSentGoesToAnotherPeer(t *testing.T) {
+// Guards against a booking that is answered as in doubt although no peer received it: a
+// call that was never sent, because the peer is unreachable, must not count as one whose
+// answer is lost.
+func TestUnsentWriteGoesToAnotherPeer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("away", "home")
-	f.fails[at(1)] = errors.Mark(errLost, ErrUnsent)
+	f.sendErrors[at(1)] = errors.Mark(errLost, ErrUnsent)
 	is.Equal(f.run(true).Code, carrier.OK)
-	is.Equal(f.asked, []netip.AddrPort{at(1), at(0)})
+	is.Equal(f.called, []netip.AddrPort{at(1), at(0)})
 }
 
-// Symptom: a booking takes effect twice. Sequence: the peer that carries it is lost
-// after it was sent, and the statement goes to another one. Cause: a lost answer is
-// taken for a call that was never sent.
-func TestAWriteWhoseAnswerIsLostIsInDoubt(t *testing.T) {
+// Guards against a booking that takes effect twice: a peer is lost after the statement was
+// sent, and the lost answer must not count as a call that was never sent, which goes to
+// another peer.
+func TestWriteWithLostAnswerIsInDoubt(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("away", "home")
-	f.fails[at(1)] = errLost
+	f.sendErrors[at(1)] = errLost
 	is.Equal(f.run(true).Code, carrier.InDoubt)
-	is.Equal(len(f.asked), 1)
-	is.Equal(f.run(false).Code, carrier.OK) // a read may go again
+	is.Equal(len(f.called), 1)
+	is.Equal(f.run(false).Code, carrier.OK) // a read may be sent again
 }
 
-// Symptom: each statement loses half a second on a peer that is cut off. Sequence:
-// the peer is asked once a second, whether it was heard of or not. Cause: it is
-// passed over for a fixed time only.
-func TestALostPeerIsPassedOverUntilItIsHeard(t *testing.T) {
+// Guards against statements that lose half a second each on a peer that is cut off,
+// because it is skipped for a fixed time only and tried again each second, whether a
+// datagram of it was received or not.
+func TestLostPeerIsSkippedUntilReceived(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("away", "home")
-	f.fails[at(1)] = errors.Mark(errLost, ErrUnsent)
+	f.sendErrors[at(1)] = errors.Mark(errLost, ErrUnsent)
 	f.run(false)
-	f.asked = nil
+	f.called = nil
 	f.now = f.now.Add(2 * time.Second)
 	f.run(false)
-	is.Equal(f.asked, []netip.AddrPort{at(0)})
-	f.asked = nil
-	delete(f.fails, at(1))
+	is.Equal(f.called, []netip.AddrPort{at(0)})
+	f.called = nil
+	delete(f.sendErrors, at(1))
 	f.peers[1].LastSeen = f.now
 	f.run(false)
-	is.Equal(f.asked, []netip.AddrPort{at(1)})
+	is.Equal(f.called, []netip.AddrPort{at(1)})
 }
 
-// A process knows whether some peer carries for a group, or none that it reaches.
-func TestReaches(t *testing.T) {
+// A process knows whether it reaches a peer that is a gateway of a group.
+func TestHasLiveGateway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home")
 	is.True(f.HasLiveGateway("g"))
 	is.True(!f.HasLiveGateway("other"))
 	f.peers[0].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
-	is.True(f.HasLiveGateway("g")) // the leader is gone, not the peer
+	is.True(f.HasLiveGateway("g")) // the leader is unreachable, not the peer
 	f.peers[0].Groups["g"] = gossiper.GroupState{IsGateway: true}
-	f.fails[at(0)] = errors.Mark(errLost, ErrUnsent)
+	f.sendErrors[at(0)] = errors.Mark(errLost, ErrUnsent)
 	runner, _ := f.Group("g")
 	runner.Run(&carrier.Job{Arrived: f.now, Deadline: time.Now().Add(60 * time.Millisecond)}, carrier.Command{Verb: carrier.Read, ID: "r"})
 	is.True(!f.HasLiveGateway("g"))
 }
 
-// Symptom: after a loss of power everywhere statements are refused a second after
-// they came, though others are served. Sequence: the three peers that are asked
-// refuse, since they have just started; a moment later they would serve. Cause: a
-// peer that has refused isn't asked again.
-func TestPeersThatRefusedAreAskedAgain(t *testing.T) {
+// Guards against statements that are refused a second after they arrived, after a loss of
+// power everywhere, though others are served: the three peers that are tried have just
+// started and refuse, and a moment later they would serve.
+func TestRefusingPeersAreRetried(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "home", "home")
-	answer := f.Send
+	serve := f.Send
 	f.Send = func(ctx context.Context, to netip.AddrPort, payload json.RawMessage) (json.RawMessage, error) {
-		if len(f.asked) < hops {
-			f.asked = append(f.asked, to)
+		if len(f.called) < maxOffers {
+			f.called = append(f.called, to)
 			return json.Marshal(response{Refused: true})
 		}
-		return answer(ctx, to, payload)
+		return serve(ctx, to, payload)
 	}
 	is.Equal(f.run(true).Code, carrier.OK)
-	is.Equal(len(f.asked), hops+1)
+	is.Equal(len(f.called), maxOffers+1)
 }
 
-// Symptom: while a leader is replaced, processes without connections refuse reads that
-// replicas could answer. Sequence: all who carry for the group miss its leader. Cause:
-// whatever the statement needs, only peers that reach the leader are asked.
-func TestReadsThatNeedNoLeaderGoToPeersThatMissIt(t *testing.T) {
+// Guards against reads that replicas could answer and that processes without connections
+// refuse while a leader is replaced: no gateway of the group reaches the leader then, and
+// such reads must not be offered only to those that do.
+func TestReplicaReadsGoToPeersWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
-	missing := gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
-	f.peers[0].Groups["g"], f.peers[1].Groups["g"] = missing, missing
-	_, found := f.peer(wish{group: "g", leader: true})
+	unreachable := gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
+	f.peers[0].Groups["g"], f.peers[1].Groups["g"] = unreachable, unreachable
+	_, found := f.choosePeer(criteria{group: "g", needsLeader: true})
 	is.True(!found)
-	p, found := f.peer(wish{group: "g"})
+	p, found := f.choosePeer(criteria{group: "g"})
 	is.True(found)
 	is.Equal(p.Zone, "home")
 	f.peers[1].Groups["g"] = gossiper.GroupState{IsGateway: true}
-	p, _ = f.peer(wish{group: "g"})
+	p, _ = f.choosePeer(criteria{group: "g"})
 	is.Equal(p.Zone, "away") // it reaches the leader, too
 	runner, _ := f.Group("g")
-	f.peers[1].Groups["g"] = missing
+	f.peers[1].Groups["g"] = unreachable
 	job := &carrier.Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: f.now, Deadline: time.Now().Add(time.Second)}
 	is.Equal(runner.Run(job, carrier.Command{Verb: carrier.Read, ID: "r"}).Code, carrier.OK)
 }
 
-// Symptom: callers of a process without connections wait out their statement's time.
-// Sequence: a partition leaves it with peers that are all cut off from whoever leads
-// next. Cause: it asks them again and again.
-func TestPeersThatAreAllCutOffAreNotWaitedFor(t *testing.T) {
+// Guards against callers that wait out their statement's time at a process without
+// connections: a partition leaves it with gateways that are all cut off from whichever
+// upstream leads next, and it offers them the statement again and again.
+func TestIsolatedGatewaysAreNotAwaited(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
-	is.True(!f.Blind("g"))
+	is.True(!f.AreGatewaysIsolated("g"))
 	for i := range f.peers {
-		is.True(!f.Blind("g"))
+		is.True(!f.AreGatewaysIsolated("g"))
 		f.peers[i].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Isolated}
 	}
-	is.True(f.Blind("g"))
+	is.True(f.AreGatewaysIsolated("g"))
 	is.Equal(f.run(true).Code, carrier.Busy)
-	is.Equal(len(f.asked), 0)
+	is.Equal(len(f.called), 0)
 	f.peers[1].Groups["g"] = gossiper.GroupState{IsGateway: true, LeaderFault: gossiper.Unreachable}
-	is.True(!f.Blind("g")) // that one may reach the next leader
+	is.True(!f.AreGatewaysIsolated("g")) // that one may reach the next leader
 	f.peers = nil
-	is.True(!f.Blind("g")) // nobody is heard: a process that has just started
+	is.True(!f.AreGatewaysIsolated("g")) // nothing was received yet: the process has just started
 }
 
-// Symptom: while a leader is replaced, a process that doesn't carry for its group offers
-// each statement to three carriers, again and again. Sequence: it hears of those that
-// carry by chance only, and not of their trouble. Cause: what they said with the last
-// answer isn't kept.
-func TestWhatAPeerSaysWithAnAnswerCounts(t *testing.T) {
+// Guards against a process that offers each statement to three gateways again and again
+// while a leader is replaced. A process that is not a gateway of the group receives the
+// gateways' states by chance only, so it has to use the fault reported with the last
+// answer.
+func TestFaultReportedWithAnswerIsUsed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
 	f.Gateways = func(string) []Candidate {
 		return []Candidate{{Name: "home", Zone: "home", Address: at(0)}, {Name: "away", Zone: "away", Address: at(1)}}
 	}
-	troubled := at(0)
+	faulty := at(0)
 	f.Send = func(_ context.Context, to netip.AddrPort, _ json.RawMessage) (json.RawMessage, error) {
-		f.asked = append(f.asked, to)
-		if to == troubled {
-			return json.Marshal(response{Refused: true, Trouble: gossiper.Unreachable})
+		f.called = append(f.called, to)
+		if to == faulty {
+			return json.Marshal(response{Refused: true, LeaderFault: gossiper.Unreachable})
 		}
 		return json.Marshal(response{Answer: carrier.Answer{Signature: "s"}})
 	}
 	is.Equal(f.run(true).Code, carrier.OK)
 	is.Equal(f.run(true).Code, carrier.OK)
-	is.Equal(f.asked, []netip.AddrPort{at(0), at(1), at(1)}) // asked once
-	f.now = f.now.Add(noted)
-	troubled = at(1)
+	is.Equal(f.called, []netip.AddrPort{at(0), at(1), at(1)}) // the first is tried once
+	f.now = f.now.Add(reportTTL)
+	faulty = at(1)
 	is.Equal(f.run(true).Code, carrier.OK)
-	is.Equal(f.asked[3:], []netip.AddrPort{at(0)}) // it has found the next leader
+	is.Equal(f.called[3:], []netip.AddrPort{at(0)}) // it has found the next leader
 }
 
-// Symptom: a process gives callers up though others serve them. Sequence: two of four
-// carriers are cut off from the next leader and say so; nothing was heard of the others.
-// Cause: silence is taken for consent.
-func TestCarriersThatSaidNothingArentBlind(t *testing.T) {
+// Guards against callers that are refused though others would serve them: two of four
+// gateways report that they are cut off from the next leader, and from the others nothing
+// was received. Unknown gateways must not count as isolated.
+func TestUnknownGatewaysAreNotIsolated(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	blind := func(i byte) Candidate {
+	cutOff := func(i byte) Candidate {
 		return Candidate{Name: "b", Address: at(i), LeaderFault: gossiper.Isolated, IsFaultKnown: true}
 	}
-	f.Gateways = func(string) []Candidate { return []Candidate{blind(0), blind(1), {Address: at(2)}, {Address: at(3)}} }
-	is.True(!f.Blind("g"))
-	f.Gateways = func(string) []Candidate { return []Candidate{blind(0), blind(1), blind(2), {Address: at(3)}} }
-	is.True(f.Blind("g")) // as many as a statement is offered to
+	f.Gateways = func(string) []Candidate { return []Candidate{cutOff(0), cutOff(1), {Address: at(2)}, {Address: at(3)}} }
+	is.True(!f.AreGatewaysIsolated("g"))
+	f.Gateways = func(string) []Candidate { return []Candidate{cutOff(0), cutOff(1), cutOff(2), {Address: at(3)}} }
+	is.True(f.AreGatewaysIsolated("g")) // as many as a statement is offered to
 }
--- a/forwarder/message.go
+++ b/forwarder/message.go
@@ -9,7 +9,7 @@
 	"basildale.example/basildale/tracker"
 )
 
-// action is what a peer is asked to do.
+// action is what a request asks a peer to do.
 type action uint8
 
 const (
@@ -22,12 +22,12 @@
 	takeSample
 )
 
-// request asks a peer to carry something. Times travel as spans, since clocks of
-// two processes don't compare.
+// request asks a peer to run something. Times are sent as durations, since the clocks of
+// two processes cannot be compared.
 type request struct {
 	Action action `json:"action"`
 	Group  string `json:"group"`
-	// Stream names a transaction among those of the sender.
+	// Stream identifies a transaction among those of the sender.
 	Stream   uint64 `json:"stream,omitempty"`
 	ReadOnly bool   `json:"readonly,omitempty"`
 
@@ -37,40 +37,38 @@
 	MaxAge    time.Duration       `json:"maxage,omitempty"`
 	Own       tracker.Mark        `json:"own,omitzero"`
 	Writes    bool                `json:"writes,omitempty"`
-	// Age is how long ago the operation arrived, Left how much of its time is
-	// left.
+	// Age is how long ago the operation arrived, Left the time left until its deadline.
 	Age  time.Duration `json:"age,omitempty"`
 	Left time.Duration `json:"left,omitempty"`
-	// Aim is how much is left until the operation's objective; negative after it.
-	Aim      time.Duration     `json:"aim,omitempty"`
-	Values   []carrier.Value   `json:"values,omitempty"`
-	Prepared *carrier.Prepared `json:"prepared,omitempty"`
-	Command  carrier.Command   `json:"command,omitzero"`
+	// Objective is the time left until the operation's objective; negative after it.
+	Objective time.Duration     `json:"aim,omitempty"`
+	Values    []carrier.Value   `json:"values,omitempty"`
+	Prepared  *carrier.Prepared `json:"prepared,omitempty"`
+	Command   carrier.Command   `json:"command,omitzero"`
 }
 
 // response is the answer to a request.
 type response struct {
 	Answer carrier.Answer `json:"answer"`
-	// Refused says that nothing was tried: the peer can't serve the group now.
+	// Refused says that nothing was tried: the peer cannot run statements of the group now.
 	Refused bool `json:"refused,omitempty"`
-	// Trouble is what the peer finds wrong with the group's leader.
-	Trouble gossiper.LeaderFault `json:"trouble,omitempty"`
+	// LeaderFault is the fault of the group's leader as the peer sees it.
+	LeaderFault gossiper.LeaderFault `json:"trouble,omitempty"`
 }
 
-// asked returns the request for a job.
-func asked(a action, group string, j *carrier.Job, cmd carrier.Command, now time.Time) request {
+// newRequest returns the request for a job.
+func newRequest(a action, group string, j *carrier.Job, cmd carrier.Command, now time.Time) request {
 	return request{
 		Action: a, Group: group, Request: j.Request, Workspace: j.Workspace, Freshness: j.Freshness, MaxAge: j.MaxAge, Own: j.LastWrite, Writes: j.Writes,
-		Age: now.Sub(j.Arrived), Left: time.Until(j.Deadline), Aim: j.ObjectiveAt.Sub(now), Values: j.Values, Prepared: j.Prepared, Command: cmd,
+		Age: now.Sub(j.Arrived), Left: time.Until(j.Deadline), Objective: j.ObjectiveAt.Sub(now), Values: j.Values, Prepared: j.Prepared, Command: cmd,
 	}
 }
 
-// job returns the job of a request. The time on the way is taken off nothing: the
-// operation counts as younger than it is, which asks for fresher data, never for
-// older.
+// job returns the job of a request. The time in transit is not subtracted: the operation
+// counts as younger than it is, which requires fresher data, never older.
 func (r *request) job(now time.Time) *carrier.Job {
 	return &carrier.Job{
 		Request: r.Request, Workspace: r.Workspace, Freshness: r.Freshness, MaxAge: r.MaxAge, LastWrite: r.Own, Writes: r.Writes,
-		Arrived: now.Add(-r.Age), ObjectiveAt: now.Add(r.Aim), Deadline: time.Now().Add(r.Left), Values: r.Values, Prepared: r.Prepared,
+		Arrived: now.Add(-r.Age), ObjectiveAt: now.Add(r.Objective), Deadline: time.Now().Add(r.Left), Values: r.Values, Prepared: r.Prepared,
 	}
 }
--- a/forwarder/path.go
+++ b/forwarder/path.go
@@ -11,136 +11,137 @@
 	"basildale.example/basildale/carrier"
 )
 
-// path runs the statements of one group, here or at a peer.
-type path struct {
+// groupRunner runs the statements of one group, here or at a peer.
+type groupRunner struct {
 	f     *Forwarder
 	group *carrier.Group
 }
 
-// turn is one statement's search for somebody who carries it.
-type turn struct {
-	p     *path
-	job   *carrier.Job
-	tried map[netip.AddrPort]bool
-	pause time.Duration // before peers are asked again
+// search is the search for a process that runs one statement.
+type search struct {
+	runner *groupRunner
+	job    *carrier.Job
+	tried  map[netip.AddrPort]bool
+	delay  time.Duration // before the peers are offered it again
 }
 
-func (p *path) turn(j *carrier.Job) *turn {
-	t := &turn{p: p, job: j}
+func (g *groupRunner) newSearch(j *carrier.Job) *search {
+	s := &search{runner: g, job: j}
 	j.CanForward = func() bool {
-		_, ok := p.f.peer(t.wish())
-		return ok && len(t.tried) < hops
+		_, ok := g.f.choosePeer(s.criteria())
+		return ok && len(s.tried) < maxOffers
 	}
-	return t
+	return s
 }
 
-func (t *turn) wish() wish {
-	return wish{group: t.p.group.Name(), workspace: t.job.Workspace, leader: t.job.RequiresLeader(), tried: t.tried}
+func (s *search) criteria() criteria {
+	return criteria{group: s.runner.group.Name(), workspace: s.job.Workspace, needsLeader: s.job.RequiresLeader(), tried: s.tried}
 }
 
-// next says who is to carry the statement: this process, or the peer that is
-// returned. It waits while neither can, and reports false when time is over.
-func (t *turn) next() (peer Candidate, local, ok bool) {
+// next returns the process to run the statement: this one, or a peer. It waits while
+// neither can, and reports false when time is over or waiting is useless.
+func (s *search) next() (peer Candidate, local, ok bool) {
 	for {
 		found := false
-		if len(t.tried) < hops {
-			peer, found = t.p.f.peer(t.wish())
+		if len(s.tried) < maxOffers {
+			peer, found = s.runner.f.choosePeer(s.criteria())
 		}
-		better := found && t.p.f.prefers(t.wish(), peer)
-		if !better && t.p.group.CanServe(t.job) {
+		better := found && s.runner.f.prefersPeer(s.criteria(), peer)
+		if !better && s.runner.group.CanServe(s.job) {
 			return peer, true, true
 		}
 		if found {
 			return peer, false, true
 		}
-		if t.p.group.IsGateway() {
-			return peer, true, true // it waits for a leader there
+		if s.runner.group.IsGateway() {
+			return peer, true, true // the statement waits for a leader in package carrier
 		}
-		if t.p.f.Blind(t.p.group.Name()) || !t.wait() {
+		if s.runner.f.AreGatewaysIsolated(s.runner.group.Name()) || !s.wait() {
 			return peer, false, false
 		}
 	}
 }
 
-// wait lets some time pass and reports whether there is time left. After it the
-// peers that refused are asked again: those that start together with this process
-// refuse for some tenths of a second and serve then. Without it a statement that
-// was refused by three of them waited for its whole second and was refused.
-func (t *turn) wait() bool {
-	t.pause = min(max(2*t.pause, recheck), longestRecheck)
-	if time.Until(t.job.Deadline) <= t.pause {
+// wait waits for the next recheck and reports whether there is time left. After it the
+// peers that refused are offered the statement again: those that start together with this
+// process refuse for some tenths of a second and serve then. Otherwise a statement that
+// three of them refused would wait for its whole second and then fail.
+func (s *search) wait() bool {
+	s.delay = min(max(2*s.delay, minRecheckDelay), maxRecheckDelay)
+	if time.Until(s.job.Deadline) <= s.delay {
 		return false
 	}
 	select {
-	case <-t.job.CallerGone:
+	case <-s.job.CallerGone:
 		return false
-	case <-time.After(t.pause):
-		clear(t.tried) // one that was lost is passed over until it is heard again
+	case <-time.After(s.delay):
+		clear(s.tried) // a lost peer stays skipped until it is received again
 		return true
 	}
 }
 
-// avoid passes a peer over for the rest of the statement.
-func (t *turn) avoid(peer Candidate) {
-	if t.tried == nil {
-		t.tried = map[netip.AddrPort]bool{}
+// markTried excludes a peer from the rest of the search.
+func (s *search) markTried(peer Candidate) {
+	if s.tried == nil {
+		s.tried = map[netip.AddrPort]bool{}
 	}
-	t.tried[peer.Address] = true
+	s.tried[peer.Address] = true
 }
 
-// elsewhere reports whether an answer means that somebody else is to be asked.
-func elsewhere(a carrier.Answer) bool { return a.Code == carrier.Unavailable }
+// isUnavailable reports whether an answer means that another process has to run the
+// statement.
+func isUnavailable(a carrier.Answer) bool { return a.Code == carrier.Unavailable }
 
-// nobody is the answer when nobody could carry the statement in time.
-func nobody() carrier.Answer {
+// noGateway returns the answer for a statement that no process could run in time.
+func noGateway() carrier.Answer {
 	return carrier.Answer{Code: carrier.Busy, Text: "no proxy reaches the group; come back in 1s"}
 }
 
 // Run implements carrier.Runner.
-func (p *path) Run(j *carrier.Job, cmd carrier.Command) carrier.Answer {
-	t := p.turn(j)
+func (g *groupRunner) Run(j *carrier.Job, cmd carrier.Command) carrier.Answer {
+	s := g.newSearch(j)
 	for {
-		peer, local, ok := t.next()
+		peer, local, ok := s.next()
 		if !ok {
-			return nobody()
+			return noGateway()
 		}
 		if local {
-			if answer := p.group.Run(j, cmd); !elsewhere(answer) {
+			if answer := g.group.Run(j, cmd); !isUnavailable(answer) {
 				return answer
 			}
 			continue
 		}
-		answer, done := t.remote(peer, runOne, cmd, nil)
+		answer, done := s.forward(peer, runOne, cmd, nil)
 		if done {
 			return answer
 		}
 	}
 }
 
-// remote has a peer carry something. It reports false when somebody else is to be
-// asked.
-func (t *turn) remote(peer Candidate, a action, cmd carrier.Command, change func(*request)) (carrier.Answer, bool) {
-	t.avoid(peer)
-	r := asked(a, t.p.group.Name(), t.job, cmd, t.p.f.Now())
-	if change != nil {
-		change(&r)
+// forward sends the statement to a peer. It reports false when another process has to be
+// tried.
+func (s *search) forward(peer Candidate, a action, cmd carrier.Command, modify func(*request)) (carrier.Answer, bool) {
+	s.markTried(peer)
+	r := newRequest(a, s.runner.group.Name(), s.job, cmd, s.runner.f.Now())
+	if modify != nil {
+		modify(&r)
 	}
-	ctx, cancel := bounded(t.job)
+	ctx, cancel := withDeadline(s.job)
 	defer cancel()
-	resp, err := t.p.f.ask(ctx, peer, r)
-	log := t.p.f.Log
+	resp, err := s.runner.f.call(ctx, peer, r)
+	log := s.runner.f.Log
 	switch {
-	case err == nil && !resp.Refused && !elsewhere(resp.Answer):
-		log.Debug("forwarder: carried by a peer", zap.String("request", t.job.Request), zap.String("peer", peer.Name))
+	case err == nil && !resp.Refused && !isUnavailable(resp.Answer):
+		log.Debug("forwarder: statement run by a peer", zap.String("request", s.job.Request), zap.String("peer", peer.Name))
 		return resp.Answer, true
 	case err == nil:
-		log.Info("forwarder: peer can't carry either", zap.String("request", t.job.Request), zap.String("peer", peer.Name))
+		log.Info("forwarder: peer refused the statement", zap.String("request", s.job.Request), zap.String("peer", peer.Name))
 		return carrier.Answer{}, false
 	case errors.Is(err, ErrUnsent):
 		return carrier.Answer{}, false
-	case a == runOne && t.job.Writes || a == commitEmpty:
+	case a == runOne && s.job.Writes || a == commitEmpty:
 		return carrier.Answer{Code: carrier.InDoubt, Text: "peer lost after the statement was sent"}, true
-	case time.Until(t.job.Deadline) <= 0:
+	case time.Until(s.job.Deadline) <= 0:
 		return carrier.Answer{Code: carrier.Timeout, Text: "no answer of a peer in time"}, true
 	default:
 		return carrier.Answer{}, false
@@ -148,50 +149,50 @@
 }
 
 // Start implements carrier.Runner.
-func (p *path) Start(j *carrier.Job, readOnly bool, cmd carrier.Command) (carrier.Transaction, carrier.Answer) {
-	t := p.turn(j)
+func (g *groupRunner) Start(j *carrier.Job, readOnly bool, cmd carrier.Command) (carrier.Transaction, carrier.Answer) {
+	s := g.newSearch(j)
 	for {
-		peer, local, ok := t.next()
+		peer, local, ok := s.next()
 		if !ok {
-			return nil, nobody()
+			return nil, noGateway()
 		}
 		if local {
-			tx, answer := p.group.Start(j, readOnly, cmd)
-			if !elsewhere(answer) {
+			tx, answer := g.group.Start(j, readOnly, cmd)
+			if !isUnavailable(answer) {
 				return tx, answer
 			}
 			continue
 		}
-		stream := p.f.streams.Add(1)
-		answer, done := t.remote(peer, startTx, cmd, func(r *request) { r.Stream, r.ReadOnly = stream, readOnly })
+		stream := g.f.streams.Add(1)
+		answer, done := s.forward(peer, startTx, cmd, func(r *request) { r.Stream, r.ReadOnly = stream, readOnly })
 		if !done {
 			continue
 		}
 		if answer.Code != carrier.OK {
 			return nil, answer
 		}
-		return &remoteTx{f: p.f, peer: peer, group: p.group.Name(), stream: stream, wrote: j.Writes && !readOnly, open: true}, answer
+		return &remoteTx{f: g.f, peer: peer, group: g.group.Name(), stream: stream, wrote: j.Writes && !readOnly, open: true}, answer
 	}
 }
 
 // CommitEmpty implements carrier.Runner.
-func (p *path) CommitEmpty(j *carrier.Job, readOnly bool, cmd carrier.Command) carrier.Answer {
-	t := p.turn(j)
+func (g *groupRunner) CommitEmpty(j *carrier.Job, readOnly bool, cmd carrier.Command) carrier.Answer {
+	s := g.newSearch(j)
 	for {
-		peer, local, ok := t.next()
+		peer, local, ok := s.next()
 		if !ok {
-			return nobody()
+			return noGateway()
 		}
 		if local {
-			if answer := p.group.CommitEmpty(j, readOnly, cmd); !elsewhere(answer) {
+			if answer := g.group.CommitEmpty(j, readOnly, cmd); !isUnavailable(answer) {
 				return answer
 			}
 			continue
 		}
-		answer, done := t.remote(peer, commitEmpty, cmd, func(r *request) { r.ReadOnly = readOnly })
+		answer, done := s.forward(peer, commitEmpty, cmd, func(r *request) { r.ReadOnly = readOnly })
 		if done {
 			if answer.Code == carrier.InDoubt {
-				answer.Code = carrier.Aborted // it had written nothing
+				answer.Code = carrier.Aborted // the transaction had written nothing
 			}
 			return answer
 		}
@@ -209,11 +210,11 @@
 }
 
 func (t *remoteTx) send(a action, j *carrier.Job, cmd carrier.Command) (response, error) {
-	r := asked(a, t.group, j, cmd, t.f.Now())
+	r := newRequest(a, t.group, j, cmd, t.f.Now())
 	r.Stream = t.stream
-	ctx, cancel := bounded(j)
+	ctx, cancel := withDeadline(j)
 	defer cancel()
-	return t.f.ask(ctx, t.peer, r)
+	return t.f.call(ctx, t.peer, r)
 }
 
 // Do implements carrier.Transaction.
@@ -242,8 +243,8 @@
 	}
 }
 
-// Rollback implements carrier.Transaction. A peer that can't be told rolls back by
-// itself, once the transaction has rested for too long.
+// Rollback implements carrier.Transaction. A peer that the request does not reach rolls
+// back by itself, once the transaction has been idle for too long.
 func (t *remoteTx) Rollback() {
 	if !t.open {
 		return
@@ -251,7 +252,7 @@
 	t.open = false
 	ctx, cancel := context.WithTimeout(context.Background(), sampleTimeout)
 	defer cancel()
-	if _, err := t.f.ask(ctx, t.peer, request{Action: rollbackTx, Group: t.group, Stream: t.stream}); err != nil {
-		t.f.Log.Info("forwarder: rollback not told", zap.String("peer", t.peer.Name), zap.Error(err))
+	if _, err := t.f.call(ctx, t.peer, request{Action: rollbackTx, Group: t.group, Stream: t.stream}); err != nil {
+		t.f.Log.Info("forwarder: rollback not confirmed by the peer", zap.String("peer", t.peer.Name), zap.Error(err))
 	}
 }
--- a/forwarder/server.go
+++ b/forwarder/server.go
@@ -11,37 +11,37 @@
 	"basildale.example/basildale/carrier"
 )
 
-// restFor is how long a transaction that is carried for a peer may rest. A caller
-// may leave it idle for 3 s; its proxy ends it then, unless it has died.
-const restFor = 4 * time.Second
+// idleTimeout is how long a transaction that is held for a peer may be idle. A caller may
+// leave it idle for 3 s; its proxy ends it then, unless it has died.
+const idleTimeout = 4 * time.Second
 
-// key names a transaction that is carried for a peer.
-type key struct {
+// transactionKey identifies a transaction that is held for a peer.
+type transactionKey struct {
 	peer   string
 	stream uint64
 }
 
-// server holds the transactions that are carried for peers.
-type server struct {
+// transactionTable holds the transactions that run here for peers.
+type transactionTable struct {
 	mu   sync.Mutex
-	open map[key]*held
+	open map[transactionKey]*heldTransaction
 }
 
-// held is one of them.
-type held struct {
-	mu   sync.Mutex // one statement at a time
-	tx   carrier.Transaction
-	rest *time.Timer
+// heldTransaction is a transaction that runs here for a peer.
+type heldTransaction struct {
+	mu        sync.Mutex // one statement at a time
+	tx        carrier.Transaction
+	idleTimer *time.Timer
 }
 
-// OpenTransactions returns how many transactions are carried for peers.
+// OpenTransactions returns the number of transactions that are held for peers.
 func (f *Forwarder) OpenTransactions() int {
-	f.serving.mu.Lock()
-	defer f.serving.mu.Unlock()
-	return len(f.serving.open)
+	f.transactions.mu.Lock()
+	defer f.transactions.mu.Unlock()
+	return len(f.transactions.open)
 }
 
-// Serve carries what a peer asks for. The name tells peers, and runs of a peer,
+// Serve runs what a peer requests. The peer's name tells peers, and restarts of a peer,
 // apart.
 func (f *Forwarder) Serve(peer string, payload json.RawMessage) (json.RawMessage, error) {
 	var r request
@@ -50,17 +50,17 @@
 	}
 	resp := f.serve(peer, &r)
 	if f.LeaderFault != nil {
-		resp.Trouble = f.LeaderFault(r.Group)
+		resp.LeaderFault = f.LeaderFault(r.Group)
 	}
 	out, err := json.Marshal(resp)
 	return out, errors.Wrap(err, "forwarder: response")
 }
 
 func (f *Forwarder) serve(peer string, r *request) response {
-	k := key{peer, r.Stream}
+	k := transactionKey{peer, r.Stream}
 	switch r.Action {
 	case doTx, commitTx, rollbackTx:
-		return f.inside(k, r)
+		return f.serveInTransaction(k, r)
 	}
 	g, ok := f.Local(r.Group)
 	if !ok || !g.IsGateway() {
@@ -74,54 +74,54 @@
 	if !g.CanServe(j) {
 		return response{Refused: true}
 	}
-	j.CanForward = func() bool { return true } // the sender asks the next one rather than wait here
+	j.CanForward = func() bool { return true } // the sender tries the next peer rather than wait here
 	switch r.Action {
 	case runOne:
 		return response{Answer: g.Run(j, r.Command)}
 	case commitEmpty:
 		return response{Answer: g.CommitEmpty(j, r.ReadOnly, r.Command)}
 	case startTx:
-		return f.begin(g, k, j, r)
+		return f.serveStart(g, k, j, r)
 	default:
 		return response{Refused: true}
 	}
 }
 
-func (f *Forwarder) begin(g *carrier.Group, k key, j *carrier.Job, r *request) response {
+func (f *Forwarder) serveStart(g *carrier.Group, k transactionKey, j *carrier.Job, r *request) response {
 	tx, answer := g.Start(j, r.ReadOnly, r.Command)
 	if tx == nil {
 		return response{Answer: answer}
 	}
-	h := &held{tx: tx}
-	f.serving.mu.Lock()
-	defer f.serving.mu.Unlock()
-	if f.serving.open == nil {
-		f.serving.open = map[key]*held{}
+	h := &heldTransaction{tx: tx}
+	f.transactions.mu.Lock()
+	defer f.transactions.mu.Unlock()
+	if f.transactions.open == nil {
+		f.transactions.open = map[transactionKey]*heldTransaction{}
 	}
-	f.serving.open[k] = h
-	h.rest = time.AfterFunc(restFor, func() { f.expire(k) })
+	f.transactions.open[k] = h
+	h.idleTimer = time.AfterFunc(idleTimeout, func() { f.rollBackIdle(k) })
 	return response{Answer: answer}
 }
 
-// take returns a transaction for one statement; last takes it out.
-func (s *server) take(k key, last bool) *held {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	h := s.open[k]
+// take returns a transaction for one statement, and removes it if that is the last.
+func (t *transactionTable) take(k transactionKey, last bool) *heldTransaction {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	h := t.open[k]
 	if h != nil && last {
-		delete(s.open, k)
+		delete(t.open, k)
 	}
 	return h
 }
 
-func (f *Forwarder) inside(k key, r *request) response {
-	h := f.serving.take(k, r.Action != doTx)
+func (f *Forwarder) serveInTransaction(k transactionKey, r *request) response {
+	h := f.transactions.take(k, r.Action != doTx)
 	if h == nil {
 		return response{Refused: true}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rest.Stop()
+	h.idleTimer.Stop()
 	j := r.job(f.Now())
 	switch r.Action {
 	case commitTx:
@@ -132,21 +132,21 @@
 	}
 	answer := h.tx.Do(j, r.Command)
 	if answer.Code != carrier.OK {
-		f.serving.take(k, true)
+		f.transactions.take(k, true)
 		h.tx.Rollback()
 		return response{Answer: answer}
 	}
-	h.rest.Reset(restFor)
+	h.idleTimer.Reset(idleTimeout)
 	return response{Answer: answer}
 }
 
-// expire rolls back a transaction whose peer has been silent for too long.
-func (f *Forwarder) expire(k key) {
-	h := f.serving.take(k, true)
+// rollBackIdle rolls back a transaction whose peer has been silent for too long.
+func (f *Forwarder) rollBackIdle(k transactionKey) {
+	h := f.transactions.take(k, true)
 	if h == nil {
 		return
 	}
-	f.Log.Info("forwarder: transaction of a silent peer rolled back", zap.String("peer", k.peer), zap.Uint64("stream", k.stream))
+	f.Log.Info("forwarder: idle transaction of a peer rolled back", zap.String("peer", k.peer), zap.Uint64("stream", k.stream))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tx.Rollback()
