--- a/gossiper/member.go
+++ b/gossiper/member.go
@@ -18,7 +18,7 @@
 	Dead              // suspect for so long that it no longer counts as part of the fleet
 )
 
-// String returns the condition's name in logs.
+// String returns the name that logs use for the condition.
 func (c Condition) String() string {
 	switch c {
 	case Alive:
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -22,11 +22,12 @@
 	// datagram in each round. Lease holders, and the gateways of groups whose lease the
 	// sender holds, come first.
 	MaxGroupPeers = 48
-	// randomTargets is the number of peers drawn at random in each round. They carry
+	// randomTargets is the number of peers drawn at random in each round. They pass
 	// entries and updates from group to group.
 	randomTargets = 2
-	// maxMissedRounds is the number of rounds after which a peer that sends in each
-	// round counts as silent. Some of ten datagrams get lost, but never all of them.
+	// maxMissedRounds is the number of rounds without a datagram after which a peer that
+	// sends in each round no longer counts as live. Some of ten datagrams get lost, but
+	// never all of them.
 	maxMissedRounds = 4
 	// aliveTimeout is how long a peer that sends in each round counts as live after its
 	// last datagram.
@@ -81,7 +82,7 @@
 
 // IsLeaderReachable reports whether the process that sees the fault can have statements
 // run by the leader.
-func (t LeaderFault) IsLeaderReachable() bool { return t == NoFault || t == Failing }
+func (f LeaderFault) IsLeaderReachable() bool { return f == NoFault || f == Failing }
 
 // GroupState is the state of a database group as one process sees it.
 type GroupState struct {
