--- a/carrier/admission_test.go
+++ b/carrier/admission_test.go
@@ -35,7 +35,7 @@
 		answers[i] = Answer{Signature: "-", Mark: mark(1, 1)}
 		switch c.Verb {
 		case Begin:
-			answers[i].State = Open
+			answers[i].State = InTransaction
 		case Read:
 			select {
 			case l.s.free <- struct{}{}:
@@ -135,7 +135,7 @@
 func newGatedGroup(s *slotUpstream, ungated bool) *Group {
 	c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
 	c.DivideConnections(6, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
-	c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Address: netip.MustParseAddrPort("10.0.0.1:1"), Leads: true}})
+	c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Address: netip.MustParseAddrPort("10.0.0.1:1"), Leads: true}})
 	g, _ := c.Group("g")
 	if ungated {
 		g.upstreams[0].gate.Queue.Window = limiter.Window{Max: 64, Fixed: true}
--- a/carrier/carrier.go
+++ b/carrier/carrier.go
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Apply replaces the known upstreams by those that the store lists.
-func (c *Registry) Apply(list []cataloger.Upstream) {
+// SetUpstreams replaces the known upstreams by those that the store lists.
+func (c *Registry) SetUpstreams(list []cataloger.Upstream) {
 	byGroup := map[string][]cataloger.Upstream{}
 	for _, u := range list {
 		byGroup[u.Group] = append(byGroup[u.Group], u)
@@ -156,8 +156,8 @@
 	return windowShare(slots, share, c.maxConns[group])
 }
 
-// Tick checks upstreams that do not answer. It must be called about ten times a second.
-func (c *Registry) Tick() {
+// CheckUpstreams checks upstreams that do not answer. It must be called about ten times a second.
+func (c *Registry) CheckUpstreams() {
 	now := c.Now()
 	for _, g := range c.Groups() {
 		g.tick(now)
--- a/carrier/command.go
+++ b/carrier/command.go
@@ -54,9 +54,9 @@
 
 // The states.
 const (
-	Idle   State = iota // no transaction
-	Open                // in a transaction
-	Broken              // in a transaction that has failed
+	Idle                State = iota // no transaction
+	InTransaction                    // in a transaction
+	InFailedTransaction              // in a transaction that has failed
 )
 
 // Code is the outcome of a statement.
--- a/carrier/commit_stall_test.go
+++ b/carrier/commit_stall_test.go
@@ -50,7 +50,7 @@
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 		leader := upstreamAtPort("a", 1)
 		leader.Leads = true
-		c.Apply([]cataloger.Upstream{leader})
+		c.SetUpstreams([]cataloger.Upstream{leader})
 		g, _ := c.Group("g")
 		write := func() Code {
 			now := time.Now()
--- a/carrier/drain_test.go
+++ b/carrier/drain_test.go
@@ -21,7 +21,7 @@
 	c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 	all := []cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)}
 	all[0].Leads = true
-	c.Apply(all)
+	c.SetUpstreams(all)
 	g, _ := c.Group("g")
 	return g, all
 }
@@ -36,7 +36,7 @@
 		is := is.New(t)
 		g, all := newLeavingGroup(newLaggingGroup())
 		all[0].Leaving = true
-		g.registry.Apply(all)
+		g.registry.SetUpstreams(all)
 		began := time.Now()
 		for time.Since(began) < leaveTimeout/2 {
 			is.Equal(readLeader(g), OK)
@@ -50,7 +50,7 @@
 		is.True(!g.CanServe(&Job{}))
 
 		all[0].Leaving = false // it stays after all
-		g.registry.Apply(all)
+		g.registry.SetUpstreams(all)
 		is.Equal(readLeader(g), OK)
 		g.registry.Stop()
 		time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 	c := &Registry{LeaveTimeout: leaveTimeout, Now: func() time.Time { return now }, Log: zap.NewNop()}
 	listed := upstreamAtPort("a", 1)
 	listed.Leaving = true
-	c.Apply([]cataloger.Upstream{listed})
+	c.SetUpstreams([]cataloger.Upstream{listed})
 	g, _ := c.Group("g")
 	now = now.Add(leaveTimeout/2 - drainMargin)
 	is.True(g.hasDrainEnded(g.upstreams[0]))
@@ -104,7 +104,7 @@
 		g.upstreams[0].ejected, g.upstreams[2].ejected = true, true
 		now := time.Now()
 		job := func() *Job {
-			return &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
+			return &Job{Freshness: cataloger.BoundedStaleness, MaxStaleness: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
 		}
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Upstream, "b")
 		g.upstreams[1].endsAt = now
@@ -122,14 +122,14 @@
 	now := time.Unix(1000, 0)
 	c := &Registry{LeaveTimeout: leaveTimeout, Now: func() time.Time { return now }, Log: zap.NewNop()}
 	all := []cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2)}
-	c.Apply(all)
+	c.SetUpstreams(all)
 	g, _ := c.Group("g")
 	u := g.upstreams[0]
 	u.answeredAt = now
-	c.Apply(all[1:])
+	c.SetUpstreams(all[1:])
 	is.True(u.entry.Leaving)
 	is.True(u.endsAt.IsZero())
 	all[0].Leaving = true
-	c.Apply(all)
+	c.SetUpstreams(all)
 	is.Equal(u.endsAt, now.Add(leaveTimeout-drainMargin))
 }
--- a/carrier/failure_rate_test.go
+++ b/carrier/failure_rate_test.go
@@ -55,13 +55,13 @@
 		s := &slotUpstream{free: make(chan struct{}, 6)}
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop()}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
-		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
 		g.mu.Lock()
 		g.eject(g.leader, time.Now(), "silent")
 		g.mu.Unlock()
 		is.Equal(g.Observe().LeaderAnswers, false)
-		c.Tick()
+		c.CheckUpstreams()
 		synctest.Wait()
 		is.Equal(g.Observe().Leader, "new")
 		is.Equal(g.Observe().LeaderAnswers, true)
@@ -87,7 +87,7 @@
 			return s.dial(ctx, u, workspace)
 		}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
-		c.Apply([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "old", Group: "g", Leads: true}, {ID: "new", Group: "g"}})
 		g, _ := c.Group("g")
 		g.VerifyLeader()
 		is.Equal(g.Observe().LeaderAnswers, true) // it is healthy
--- a/carrier/job.go
+++ b/carrier/job.go
@@ -43,9 +43,9 @@
 	// Request is the id of the caller's request, for the log.
 	Request string
 	// Workspace is the workspace of the statement; empty if it belongs to none.
-	Workspace string
-	Freshness cataloger.Freshness
-	MaxAge    time.Duration
+	Workspace    string
+	Freshness    cataloger.Freshness
+	MaxStaleness time.Duration
 	// LastWrite is the furthest position of the session's own writes.
 	LastWrite tracker.Mark
 	// Writes is true if the job may change data, so that only the leader may run it.
@@ -286,7 +286,7 @@
 func lastAnswer(answers []Answer, setup int) Answer {
 	for _, a := range answers[:setup] {
 		if a.Code != OK {
-			return Answer{Code: Failed, Text: "session values couldn't be set: " + a.Text, State: Broken}
+			return Answer{Code: Failed, Text: "session values couldn't be set: " + a.Text, State: InFailedTransaction}
 		}
 	}
 	return answers[len(answers)-1]
--- a/carrier/leader_search_test.go
+++ b/carrier/leader_search_test.go
@@ -29,16 +29,16 @@
 			return s.dial(ctx, u, workspace)
 		}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
-		c.Apply([]cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)})
+		c.SetUpstreams([]cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)})
 		g, _ := c.Group("g")
 		g.upstreams[0].answeredAt = time.Now() // it is alive
-		c.Tick()                               // all are asked, none leads yet
+		c.CheckUpstreams()                     // all are asked, none leads yet
 		time.Sleep(10 * time.Millisecond)
 		s.promote()
 		led := time.Now()
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			c.Tick()
+			c.CheckUpstreams()
 			synctest.Wait()
 			if g.Observe().LeaderAnswers {
 				break
--- a/carrier/leader_wait_test.go
+++ b/carrier/leader_wait_test.go
@@ -14,7 +14,7 @@
 // newLeaderlessGroup returns a group of three whose leader, a, has been lost for some time.
 func newLeaderlessGroup(lost time.Duration) *Group {
 	c := &Registry{Now: time.Now, Log: zap.NewNop()}
-	c.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1), upstreamStartedAt("c", 1)})
+	c.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1), upstreamStartedAt("c", 1)})
 	g, _ := c.Group("g")
 	g.lastLeader, g.leaderlessSince = "a", time.Now().Add(-lost)
 	for _, u := range g.upstreams {
--- a/carrier/overload_test.go
+++ b/carrier/overload_test.go
@@ -82,7 +82,7 @@
 	case c.Verb == Begin && !l.s.leads(l.id):
 		return Answer{Code: ReadOnly}
 	case c.Verb == Begin:
-		return Answer{Signature: "-", State: Open}
+		return Answer{Signature: "-", State: InTransaction}
 	case c.Verb == Read && l.s.mark(l.id).Less(c.Since):
 		return Answer{Code: Lagging}
 	case c.Verb != Read:
@@ -123,7 +123,7 @@
 					ID: id, Group: "g", Slots: 3, Leads: id == "a", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(i+1)),
 				})
 			}
-			c.Apply(list)
+			c.SetUpstreams(list)
 			g, _ := c.Group("g")
 			groups = append(groups, g)
 		}
@@ -133,7 +133,7 @@
 		var overloadedSince time.Time
 		for time.Since(began) < duration {
 			for _, g := range groups {
-				g.registry.Tick()
+				g.registry.CheckUpstreams()
 			}
 			s.mu.Lock()
 			s.end++
@@ -148,7 +148,7 @@
 			}
 			g := groups[rng.IntN(len(groups))]
 			calls.Go(func() {
-				job := &Job{Freshness: cataloger.ReadYourWrites, MaxAge: 2500 * time.Millisecond, Arrived: time.Now()}
+				job := &Job{Freshness: cataloger.ReadYourWrites, MaxStaleness: 2500 * time.Millisecond, Arrived: time.Now()}
 				job.ObjectiveAt, job.Deadline = job.Arrived.Add(objective), job.Arrived.Add(timeout)
 				a := g.Run(job, Command{Verb: Read, ID: "r"})
 				mu.Lock()
@@ -200,7 +200,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
-			c.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1), upstreamStartedAt("c", 1)})
+			c.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1), upstreamStartedAt("c", 1)})
 			g, _ := c.Group("g")
 			g.leader = g.upstreams[0]
 			g.ages.add(2500 * time.Millisecond)
--- a/carrier/place.go
+++ b/carrier/place.go
@@ -53,12 +53,12 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ages.add(j.MaxAge)
-	mark, ok := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxAge))
+	g.ages.add(j.MaxStaleness)
+	mark, ok := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxStaleness))
 	newest, _ := g.samples.last()
 	var waiting <-chan struct{}
 	g.samples.interval = g.ages.interval()
-	if !ok || g.registry.Now().Sub(newest.requestedAt) > j.MaxAge/resampleDivisor {
+	if !ok || g.registry.Now().Sub(newest.requestedAt) > j.MaxStaleness/resampleDivisor {
 		waiting = g.refreshSample()
 	}
 	if !ok {
--- a/carrier/restart_test.go
+++ b/carrier/restart_test.go
@@ -23,7 +23,7 @@
 func newRestartGroup() (*Group, func(time.Time)) {
 	now := time.Unix(1000, 0)
 	c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
-	c.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
+	c.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
 	g, _ := c.Group("g")
 	u := g.upstreams[0]
 	u.mark = mark(1, 90)
@@ -42,9 +42,9 @@
 		g, _ := newRestartGroup()
 		old := g.upstreams[0]
 		if unlisted {
-			g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("b", 1)})
+			g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("b", 1)})
 		}
-		g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+		g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
 		u := g.upstreams[0]
 		is.Equal(u.id, "a")
 		is.True(u != old)
@@ -63,7 +63,7 @@
 func TestLapsedEntryKeepsStartTime(t *testing.T) {
 	is := is.New(t)
 	g, _ := newRestartGroup()
-	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("b", 1)})
 	for _, u := range g.Observe().Upstreams {
 		is.True(u.StartedAt.Equal(time.UnixMilli(1)))
 	}
@@ -74,13 +74,13 @@
 func TestLateUpdateOfFormerStartIsIgnored(t *testing.T) {
 	is := is.New(t)
 	g, _ := newRestartGroup()
-	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
 	u := g.upstreams[0]
-	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 1), upstreamStartedAt("b", 1)})
 	is.True(g.upstreams[0] == u)
-	g.registry.Apply([]cataloger.Upstream{{ID: "a", Group: "g"}, upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g"}, upstreamStartedAt("b", 1)})
 	is.True(g.upstreams[0] == u)
-	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
 	is.True(g.upstreams[0] == u) // and it has not restarted once more
 }
 
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	g, setNow := newRestartGroup()
 	is.True(g.Observe().MinReceived.IsZero())
-	g.registry.Apply([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
+	g.registry.SetUpstreams([]cataloger.Upstream{upstreamStartedAt("a", 2), upstreamStartedAt("b", 1)})
 	is.Equal(g.Observe().MinReceived, mark(1, 100)) // the newest known position of the leader
 
 	// The first position that the leader states after the restart covers all of it.
--- a/carrier/runner.go
+++ b/carrier/runner.go
@@ -45,7 +45,7 @@
 	if j.RequiresLeader() {
 		return leads && !g.leader.drained(now) && !g.leader.isFull() && (!j.Writes || !g.isCommitStalled(g.leader, now))
 	}
-	_, fresh := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxAge))
+	_, fresh := g.samples.oldestSince(j.Arrived.Add(clockErrorMargin - j.MaxStaleness))
 	if !fresh && !leads {
 		return false
 	}
--- a/carrier/share_test.go
+++ b/carrier/share_test.go
@@ -25,7 +25,7 @@
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
 		settings := []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}}
 		c.DivideConnections(1, settings)
-		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
 		g, _ := c.Group("g")
 		answers := make(chan Answer, 2)
 		run := func(work string) {
@@ -56,14 +56,14 @@
 		choices := 0
 		c := &Registry{Dial: s.dial, Now: time.Now, Log: zap.NewNop(), CountPlacement: func(string) { choices++ }}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}})
-		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g", Leaving: true}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g", Leaving: true}})
 		g, _ := c.Group("g")
 		for _, u := range g.upstreams {
 			u.gate.Queue.InitialServiceTime = time.Minute // nothing can be in time
 			u.gate.Queue.Window = limiter.Window{Min: 1, Max: 1, Fixed: true}
 		}
 		g.samples.add(time.Now(), mark(1, 1))
-		job := &Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
+		job := &Job{Freshness: cataloger.BoundedStaleness, MaxStaleness: time.Second, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
 		is.Equal(g.Run(job, Command{Verb: Read, ID: "r", Text: "1ms"}).Code, Busy)
 		is.Equal(choices, 2)
 		c.Stop()
--- a/carrier/startup_test.go
+++ b/carrier/startup_test.go
@@ -109,12 +109,12 @@
 		is.True(!g.HasUpstreams())
 		answers := make(chan Answer)
 		began := time.Now()
-		for _, job := range []*Job{{}, {Freshness: cataloger.BoundedStaleness, MaxAge: time.Second}} {
+		for _, job := range []*Job{{}, {Freshness: cataloger.BoundedStaleness, MaxStaleness: time.Second}} {
 			job.Arrived, job.Deadline = began, began.Add(time.Second)
 			go func() { answers <- g.Run(job, Command{Verb: Read, ID: "r", Text: "1ms"}) }()
 		}
 		time.Sleep(500 * time.Millisecond)
-		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
 		is.Equal((<-answers).Code, OK)
 		is.Equal((<-answers).Code, OK)
 		is.True(time.Since(began) < 700*time.Millisecond)
--- a/carrier/tx.go
+++ b/carrier/tx.go
@@ -102,19 +102,19 @@
 	if begin.Verb == Begin {
 		g.recordLeader(u, requestedAt, answer.Mark)
 	}
-	return &Tx{group: g, upstream: u, run: r, state: Open}, Answer{}
+	return &Tx{group: g, upstream: u, run: r, state: InTransaction}, Answer{}
 }
 
 // Do runs a statement inside the transaction. An answer that is not OK means that the
 // transaction has failed and nothing of it is kept.
 func (t *Tx) Do(j *Job, cmd Command) Answer {
-	if t.state != Open {
+	if t.state != InTransaction {
 		return refusal(Aborted, "the transaction has failed")
 	}
 	t.wrote = t.wrote || j.Writes
 	for {
 		answer := t.runOnce(j, cmd)
-		busy := answer.Code == Busy && answer.State == Open
+		busy := answer.Code == Busy && answer.State == InTransaction
 		if !busy || !pause(j, busyRetryDelay) {
 			return t.applyAnswer(answer)
 		}
@@ -130,7 +130,7 @@
 		if time.Until(j.Deadline) > 0 {
 			t.group.recordFailure(t.upstream, true)
 		}
-		return Answer{Code: Aborted, Text: "connection lost inside the transaction", State: Broken}
+		return Answer{Code: Aborted, Text: "connection lost inside the transaction", State: InFailedTransaction}
 	}
 	answer := lastAnswer(answers, len(setup))
 	answer.Upstream, answer.Led = t.upstream.id, t.group.reachableLeader() == t.upstream
@@ -147,11 +147,11 @@
 // caller treats it as failed.
 func (t *Tx) applyAnswer(a Answer) Answer {
 	switch {
-	case a.Code == OK && a.State == Open:
+	case a.Code == OK && a.State == InTransaction:
 	case a.Code == OK:
-		t.state = Broken
+		t.state = InFailedTransaction
 	default:
-		t.state = Broken
+		t.state = InFailedTransaction
 		if !a.Code.GuaranteesNoEffect() {
 			// Nothing of a transaction that was never sent a commit is kept, whatever the
 			// outcome of the statement.
@@ -164,7 +164,7 @@
 // Commit commits the transaction. If the commit was sent and its answer is lost, the
 // outcome of a transaction that wrote is in doubt.
 func (t *Tx) Commit(j *Job, cmd Command) Answer {
-	if t.state != Open {
+	if t.state != InTransaction {
 		t.Rollback()
 		return refusal(Aborted, "the transaction has failed")
 	}
--- a/carrier/unlisted_test.go
+++ b/carrier/unlisted_test.go
@@ -24,11 +24,11 @@
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 23}})
 		all := []cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2), upstreamAtPort("c", 3)}
 		all[0].Leads = true
-		c.Apply(all)
+		c.SetUpstreams(all)
 		g, _ := c.Group("g")
 		is.Equal(readLeader(g), OK)
 
-		c.Apply(all[1:])
+		c.SetUpstreams(all[1:])
 		is.Equal(readLeader(g), OK)
 		seen := g.Observe()
 		is.True(seen.LeaderAnswers)
@@ -36,15 +36,15 @@
 		is.True(seen.Upstreams[2].Leaving) // so the lease holder replaces it
 
 		time.Sleep(unlistedTimeout / 2)
-		c.Apply(all) // its entry is back
+		c.SetUpstreams(all) // its entry is back
 		is.True(!g.Observe().Upstreams[0].Leaving)
 		is.Equal(readLeader(g), OK)
-		c.Apply(all[1:])
+		c.SetUpstreams(all[1:])
 		for range 40 {
 			time.Sleep(unlistedTimeout / 40)
 			is.Equal(readLeader(g), OK)
 		}
-		c.Tick()
+		c.CheckUpstreams()
 		is.True(!g.Observe().LeaderAnswers) // a few seconds after it was lost it gets nothing new
 		c.Stop()
 		time.Sleep(time.Second) // the search for a leader has ended
@@ -80,12 +80,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			c := &Registry{Now: func() time.Time { return now }, Log: zap.NewNop()}
-			c.Apply([]cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2)})
+			c.SetUpstreams([]cataloger.Upstream{upstreamAtPort("a", 1), upstreamAtPort("b", 2)})
 			g, _ := c.Group("g")
 			u := g.upstreams[0]
 			u.answeredAt = now
 			test.change(u)
-			c.Apply(append(test.after, upstreamAtPort("b", 2)))
+			c.SetUpstreams(append(test.after, upstreamAtPort("b", 2)))
 			is.Equal(!u.removed, test.kept)
 			is.Equal(len(g.absent) > 0, !test.kept && test.after == nil)
 		})
--- a/carrier/workspace_test.go
+++ b/carrier/workspace_test.go
@@ -28,7 +28,7 @@
 	for i, c := range commands {
 		answers[i] = Answer{Signature: "-", Mark: mark(1, 1)}
 		if c.Verb == Begin {
-			answers[i].State = Open
+			answers[i].State = InTransaction
 		}
 		if c.ID != "" && c.ID != o.workspace {
 			o.onForeign(c.ID, o.workspace)
@@ -64,7 +64,7 @@
 		}
 		c := &Registry{Dial: dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": 4} }}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: 8}})
-		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 4}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 4}})
 		g, _ := c.Group("g")
 		rng := rand.New(rand.NewPCG(3, 4))
 		for range 400 {
@@ -138,7 +138,7 @@
 		}
 		c := &Registry{Dial: dial, Now: time.Now, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": share} }}
 		c.DivideConnections(1, []cataloger.GroupSettings{{Name: "g", MaxConnections: share}})
-		c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 2}, {ID: "b", Group: "g", Slots: 2}, {ID: "c", Group: "g", Slots: 2}})
+		c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true, Slots: 2}, {ID: "b", Group: "g", Slots: 2}, {ID: "c", Group: "g", Slots: 2}})
 		g, _ := c.Group("g")
 		rng := rand.New(rand.NewPCG(3, 4))
 		for now := time.Duration(0); now < length; {
@@ -148,7 +148,7 @@
 			// A few workspaces send most of the reads.
 			workspace := fmt.Sprint("w", int(workspaces*rng.Float64()*rng.Float64()*rng.Float64()))
 			j := &Job{
-				Workspace: workspace, Freshness: cataloger.BoundedStaleness, MaxAge: 1500 * time.Millisecond,
+				Workspace: workspace, Freshness: cataloger.BoundedStaleness, MaxStaleness: 1500 * time.Millisecond,
 				Arrived: time.Now(), ObjectiveAt: time.Now().Add(300 * time.Millisecond), Deadline: time.Now().Add(time.Second),
 			}
 			go func() {
--- a/cataloger/catalog.go
+++ b/cataloger/catalog.go
@@ -30,10 +30,10 @@
 // Route says how the statements of one database are served. It is sent between peers as
 // JSON.
 type Route struct {
-	Database  string        `json:"database"`
-	Group     string        `json:"group"`
-	Freshness Freshness     `json:"freshness"`
-	MaxAge    time.Duration `json:"maxage"`
+	Database     string        `json:"database"`
+	Group        string        `json:"group"`
+	Freshness    Freshness     `json:"freshness"`
+	MaxStaleness time.Duration `json:"maxage"`
 	// Timeout bounds one statement, Objective is the target latency of an operation.
 	Timeout   time.Duration `json:"timeout"`
 	Objective time.Duration `json:"objective"`
--- a/cataloger/workspace.go
+++ b/cataloger/workspace.go
@@ -60,9 +60,9 @@
 	Burst float64 `json:"burst"`
 }
 
-// Identify returns the workspace of a caller with a key on a route, and whether the
+// Authorize returns the workspace of a caller with a key on a route, and whether the
 // route accepts the caller. The workspace is empty where no key is required.
-func (v *View) Identify(r *Route, key Fingerprint) (workspace string, ok bool) {
+func (v *View) Authorize(r *Route, key Fingerprint) (workspace string, ok bool) {
 	if r.Public || !v.Config.KeysRequired {
 		return "", true
 	}
--- a/conductor/identity.go
+++ b/conductor/identity.go
@@ -21,7 +21,7 @@
 	if !ok {
 		return scope{}, errorReply(carrier.NoDatabase, "no route to the database "+s.Database)
 	}
-	workspace, ok := view.Identify(&route, s.Key)
+	workspace, ok := view.Authorize(&route, s.Key)
 	if !ok {
 		s.logUnknown(view.Config.Version)
 		return scope{}, replyFrom(forbiddenAnswer())
@@ -34,7 +34,7 @@
 // keep it going with a revoked key as long as it sends statements.
 func (s *Session) isKeyRevoked() bool {
 	view := s.View()
-	workspace, ok := view.Identify(&s.scope.route, s.Key)
+	workspace, ok := view.Authorize(&s.scope.route, s.Key)
 	if ok && workspace == s.scope.workspace {
 		return false
 	}
--- a/conductor/identity_test.go
+++ b/conductor/identity_test.go
@@ -84,7 +84,7 @@
 	k.configure("depot", "another")
 	reply := k.do(Write, "", "seat bo")
 	is.Equal(reply.Code, carrier.Forbidden)
-	is.Equal(reply.State, carrier.Broken)
+	is.Equal(reply.State, carrier.InFailedTransaction)
 	is.Equal(k.do(Commit, "", "").Code, carrier.Aborted)
 	is.Equal(k.group.transactionEndings(), []string{"rollback"})
 }
--- a/conductor/session.go
+++ b/conductor/session.go
@@ -112,7 +112,7 @@
 }
 
 func (s *Session) dispatch(st Statement, arrived time.Time) Reply {
-	if s.state == carrier.Broken && st.Verb != Rollback && st.Verb != Commit {
+	if s.state == carrier.InFailedTransaction && st.Verb != Rollback && st.Verb != Commit {
 		return errorReply(carrier.Malformed, "the transaction has failed; end it first")
 	}
 	switch st.Verb {
@@ -150,7 +150,7 @@
 	s.scope = scope
 	s.readOnly = st.Verb == BeginReadOnly
 	s.began = arrived
-	s.state = carrier.Open
+	s.state = carrier.InTransaction
 	return okReply()
 }
 
@@ -212,7 +212,7 @@
 	if !ok {
 		return s.failTransaction(errorReply(carrier.NoStatement, "no prepared statement "+st.Name))
 	}
-	if s.state == carrier.Open {
+	if s.state == carrier.InTransaction {
 		return s.executeInTransaction(st, cmd, prepared, writes, arrived)
 	}
 	scope, refused := s.resolveScope()
@@ -255,7 +255,7 @@
 	s.recordOutcome(st, s.scope.route, answer, arrived)
 	if answer.Code != carrier.OK {
 		s.detachTransaction()
-		s.state = carrier.Broken
+		s.state = carrier.InFailedTransaction
 	}
 	return replyFrom(answer)
 }
@@ -280,15 +280,15 @@
 func (s *Session) newJob(st Statement, in scope, arrived time.Time) *carrier.Job {
 	route := &in.route
 	job := &carrier.Job{
-		Request:     st.ID,
-		Workspace:   in.workspace,
-		Freshness:   route.Freshness,
-		MaxAge:      route.MaxAge,
-		Arrived:     arrived,
-		ObjectiveAt: arrived.Add(route.Objective),
-		Deadline:    time.Now().Add(route.Timeout - s.Now().Sub(arrived)),
-		Values:      s.values,
-		CallerGone:  s.callerGone,
+		Request:      st.ID,
+		Workspace:    in.workspace,
+		Freshness:    route.Freshness,
+		MaxStaleness: route.MaxStaleness,
+		Arrived:      arrived,
+		ObjectiveAt:  arrived.Add(route.Objective),
+		Deadline:     time.Now().Add(route.Timeout - s.Now().Sub(arrived)),
+		Values:       s.values,
+		CallerGone:   s.callerGone,
 	}
 	if route.Freshness == cataloger.ReadYourWrites {
 		job.LastWrite = s.mark
@@ -300,7 +300,7 @@
 	if s.state == carrier.Idle {
 		return errorReply(carrier.Malformed, "no transaction is open")
 	}
-	if s.state == carrier.Broken {
+	if s.state == carrier.InFailedTransaction {
 		s.endTransaction()
 		return errorReply(carrier.Aborted, "the transaction has failed and was rolled back")
 	}
@@ -363,9 +363,9 @@
 
 // failTransaction marks an open transaction as failed and passes the reply on.
 func (s *Session) failTransaction(r Reply) Reply {
-	if s.state == carrier.Open {
+	if s.state == carrier.InTransaction {
 		s.detachTransaction()
-		s.state = carrier.Broken
+		s.state = carrier.InFailedTransaction
 	}
 	return r
 }
@@ -413,7 +413,7 @@
 // startIdleTimer starts a timer that ends the open transaction when its caller leaves it idle
 // for too long: it occupies a connection that others wait for.
 func (s *Session) startIdleTimer() {
-	if s.state != carrier.Open || s.tx == nil {
+	if s.state != carrier.InTransaction || s.tx == nil {
 		return
 	}
 	idleTimeout := s.View().Config.IdleTransactionTimeout
@@ -433,10 +433,10 @@
 
 func (s *Session) expireIdle(count uint64) {
 	s.mu.Lock()
-	if s.statementCount == count && s.state == carrier.Open {
+	if s.statementCount == count && s.state == carrier.InTransaction {
 		s.Log.Info("conductor: idle transaction ended", zap.String("database", s.Database))
 		s.detachTransaction()
-		s.state = carrier.Broken
+		s.state = carrier.InFailedTransaction
 	}
 	s.mu.Unlock()
 	s.RollbackEnded()
--- a/conductor/session_test.go
+++ b/conductor/session_test.go
@@ -80,7 +80,7 @@
 	g := &fakeGroup{answer: carrier.Answer{Signature: "s", Mark: mark(7)}}
 	catalog := &cataloger.Catalog{}
 	catalog.Configure(cataloger.Config{Version: 3, IdleTransactionTimeout: 2 * time.Second, Routes: []cataloger.Route{
-		{Database: "guards", Group: "g", Freshness: cataloger.ReadYourWrites, MaxAge: time.Second, Timeout: time.Second, Objective: 400 * time.Millisecond},
+		{Database: "guards", Group: "g", Freshness: cataloger.ReadYourWrites, MaxStaleness: time.Second, Timeout: time.Second, Objective: 400 * time.Millisecond},
 	}})
 	return &Session{
 		Database: "guards", View: catalog.View, Now: time.Now, Log: zap.NewNop(),
@@ -127,9 +127,9 @@
 func TestTransactionsStartWithFirstStatement(t *testing.T) {
 	is := is.New(t)
 	s, g := newSession()
-	is.Equal(s.do(Begin, "", "").State, carrier.Open)
+	is.Equal(s.do(Begin, "", "").State, carrier.InTransaction)
 	is.Equal(g.started, 0)
-	is.Equal(s.do(Write, "", "seat anna").State, carrier.Open)
+	is.Equal(s.do(Write, "", "seat anna").State, carrier.InTransaction)
 	is.Equal(g.started, 1)
 	is.Equal(s.do(Begin, "", "").Code, carrier.Malformed)
 	is.Equal(s.do(Commit, "", "").State, carrier.Idle)
@@ -148,7 +148,7 @@
 	s.do(Begin, "", "")
 	s.do(Write, "", "seat anna")
 	g.answer = carrier.Answer{Code: carrier.Aborted}
-	is.Equal(s.do(Write, "", "seat bo").State, carrier.Broken)
+	is.Equal(s.do(Write, "", "seat bo").State, carrier.InFailedTransaction)
 	is.Equal(g.transactionEndings(), []string{"rollback"})
 	g.answer = carrier.Answer{}
 	is.Equal(s.do(Read, "", "seat").Code, carrier.Malformed)
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -36,7 +36,7 @@
 	f := &fleet{now: time.Unix(1000, 0), sendErrors: map[netip.AddrPort]error{}}
 	c := &carrier.Registry{Now: func() time.Time { return f.now }, Log: zap.NewNop(), ConnectionShares: func(map[string]int, int) map[string]int { return map[string]int{"g": 0} }}
 	c.DivideConnections(10, []cataloger.GroupSettings{{Name: "g", MaxConnections: 40}})
-	c.Apply([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
+	c.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g", Leads: true}})
 	for i, zone := range zones {
 		f.peers = append(f.peers, gossiper.Peer{LastSeen: f.now, State: gossiper.State{
 			Name: zone, Zone: zone, GatewayAddr: at(byte(i)), Groups: map[string]gossiper.GroupState{"g": {IsGateway: true}},
@@ -176,7 +176,7 @@
 	is.Equal(p.Zone, "away") // it reaches the leader, too
 	runner, _ := f.Group("g")
 	f.peers[1].Groups["g"] = unreachable
-	job := &carrier.Job{Freshness: cataloger.BoundedStaleness, MaxAge: time.Second, Arrived: f.now, Deadline: time.Now().Add(time.Second)}
+	job := &carrier.Job{Freshness: cataloger.BoundedStaleness, MaxStaleness: time.Second, Arrived: f.now, Deadline: time.Now().Add(time.Second)}
 	is.Equal(runner.Run(job, carrier.Command{Verb: carrier.Read, ID: "r"}).Code, carrier.OK)
 }
 
--- a/forwarder/path.go
+++ b/forwarder/path.go
@@ -223,7 +223,7 @@
 	resp, err := t.send(doTx, j, cmd)
 	if err != nil || resp.Refused {
 		t.open = false
-		return carrier.Answer{Code: carrier.Aborted, Text: "peer lost inside the transaction", State: carrier.Broken}
+		return carrier.Answer{Code: carrier.Aborted, Text: "peer lost inside the transaction", State: carrier.InFailedTransaction}
 	}
 	t.open = resp.Answer.Code == carrier.OK
 	return resp.Answer
--- a/overseer/overseer.go
+++ b/overseer/overseer.go
@@ -71,8 +71,8 @@
 	Store  *keeper.Client
 	// Era returns the latest era of the store that this process knows.
 	Era func() uint64
-	// Live returns the peers that were seen recently.
-	Live func() []gossiper.Peer
+	// LivePeers returns the peers that were seen recently.
+	LivePeers func() []gossiper.Peer
 	// IsPartitioned, when set, reports whether this process has peers and receives from none
 	// of them.
 	IsPartitioned func() bool
@@ -163,7 +163,7 @@
 	relevant := o.relevantGroups()
 	var peers []gossiper.Peer
 	if len(relevant) > 0 {
-		peers = o.Live()
+		peers = o.LivePeers()
 	}
 	states := make(map[string]gossiper.GroupState, len(relevant))
 	for _, g := range relevant {
@@ -271,7 +271,7 @@
 
 // releaseLease releases the lease, unless no other process could claim it.
 func (o *Overseer) releaseLease(g *group) {
-	if len(o.Live()) == 0 {
+	if len(o.LivePeers()) == 0 {
 		return
 	}
 	g.lease.token = 0
--- a/proxier/catalog.go
+++ b/proxier/catalog.go
@@ -147,7 +147,7 @@
 	if !changed {
 		return
 	}
-	s.carrier.Apply(s.filterConfigured(s.catalog.Upstreams()))
+	s.carrier.SetUpstreams(s.filterConfigured(s.catalog.Upstreams()))
 	s.notifyChanged()
 }
 
--- a/proxier/distribution_test.go
+++ b/proxier/distribution_test.go
@@ -247,7 +247,7 @@
 		}
 		c.Routes = append(c.Routes, cataloger.Route{
 			Database: string(name), Group: c.Groups[rng.IntN(len(c.Groups))].Name, Freshness: cataloger.Freshness(rng.IntN(3)),
-			MaxAge: 1500 * time.Millisecond, Timeout: time.Second, Objective: 200 * time.Millisecond, Priority: 1 + rng.IntN(2),
+			MaxStaleness: 1500 * time.Millisecond, Timeout: time.Second, Objective: 200 * time.Millisecond, Priority: 1 + rng.IntN(2),
 		})
 	}
 	return c
--- a/proxier/proxier.go
+++ b/proxier/proxier.go
@@ -199,7 +199,7 @@
 	p.buildStoreSync()
 	orders := &orderer.Orderer{Address: s.Orders, Holder: s.Name}
 	p.overseer = &overseer.Overseer{
-		Name: s.Name, Start: p.incarnation, Groups: p.carrier.Groups, Store: p.store, Era: p.storeEra, Live: p.gossip.Live, IsPartitioned: p.gossip.IsPartitioned,
+		Name: s.Name, Start: p.incarnation, Groups: p.carrier.Groups, Store: p.store, Era: p.storeEra, LivePeers: p.gossip.Live, IsPartitioned: p.gossip.IsPartitioned,
 		Promote: orders.Promote, NotifyPeers: p.gossip.NotifyPeers, Leaving: p.leaving.Load, Now: bootClock, Log: p.Log,
 	}
 	p.forward = &forwarder.Forwarder{Local: p.carrier.Group, Gateways: p.gateways, LeaderFault: p.overseer.LeaderFault, Send: p.forwardToPeer, Name: s.Name, Zone: s.Zone, Now: bootClock, Log: p.Log}
@@ -286,7 +286,7 @@
 		p.Log.Info("proxier: caller refused", zap.String("database", database), zap.Uint64("configuration", view.Config.Version))
 		return nil, carrier.NoDatabase, "no route to the database " + database
 	}
-	if _, ok := view.Identify(&route, key); !ok {
+	if _, ok := view.Authorize(&route, key); !ok {
 		p.Log.Info("proxier: caller refused, key unknown", zap.String("database", database), zap.Stringer("key", key), zap.Uint64("configuration", view.Config.Version))
 		return nil, carrier.Forbidden, "the key is unknown"
 	}
@@ -351,7 +351,7 @@
 		case <-ticker.C:
 		}
 		p.cache.expireUnlisted(bootClock())
-		p.carrier.Tick()
+		p.carrier.CheckUpstreams()
 		if n%ticksPerDivision == 0 {
 			previous = p.divideConnections(previous)
 		}
--- a/proxier/quota.go
+++ b/proxier/quota.go
@@ -67,7 +67,7 @@
 		waitUntil = deadline
 	}
 	v := q.takeToken(workspace, *quota)
-	for !v.Granted && v.Unsure && time.Now().Add(v.RetryAfter).Before(waitUntil) {
+	for !v.Granted && v.Undecided && time.Now().Add(v.RetryAfter).Before(waitUntil) {
 		time.Sleep(v.RetryAfter)
 		v = q.takeToken(workspace, *quota)
 	}
@@ -75,7 +75,7 @@
 	case v.Granted:
 		q.increment(quotaGranted, 1)
 		return carrier.Answer{}
-	case v.Unsure:
+	case v.Undecided:
 		q.increment(quotaUnsure, 1)
 	default:
 		q.increment(quotaRefused, 1)
@@ -88,9 +88,9 @@
 	owner, _ := q.node.Owner(workspace)
 	q.mu.Unlock()
 	q.log.Info("proxier: operation refused by the workspace's quota", zap.String("workspace", workspace), zap.Float64("rate", quota.Rate), zap.Float64("burst", quota.Burst),
-		zap.String("holder", owner.Name), zap.Bool("unsure", v.Unsure), zap.Duration("back", v.RetryAfter), zap.Uint64("configuration", q.view().Config.Version))
+		zap.String("holder", owner.Name), zap.Bool("unsure", v.Undecided), zap.Duration("back", v.RetryAfter), zap.Uint64("configuration", q.view().Config.Version))
 	cause := "the workspace's quota is used up"
-	if v.Unsure {
+	if v.Undecided {
 		cause = "what is left of the workspace's quota isn't known"
 	}
 	retryAfter := max(v.RetryAfter, minRetryAfter).Round(time.Millisecond)
@@ -125,7 +125,7 @@
 	delete(q.pending, m.ID)
 	q.node.OwnerTimedOut(throttler.NewID(owner.Name), q.now())
 	q.log.Info("proxier: shard owner of the workspace's quota does not answer", zap.String("holder", owner.Name), zap.String("workspace", workspace))
-	return throttler.Verdict{Unsure: true}
+	return throttler.Verdict{Undecided: true}
 }
 
 // receive handles a datagram of a peer.
--- a/proxier/share_test.go
+++ b/proxier/share_test.go
@@ -120,7 +120,7 @@
 	p.startedAt = bootClock().Add(-2 * noConnectionsTimeout)
 	p.cache.setConfig(cataloger.Config{Version: 1, Groups: []cataloger.GroupSettings{{Name: "g", MaxConnections: 53}}}, "test")
 	p.cache.replaceUpstreams(nil, atRevision(1))
-	p.carrier.Apply([]cataloger.Upstream{{ID: "a", Group: "g"}})
+	p.carrier.SetUpstreams([]cataloger.Upstream{{ID: "a", Group: "g"}})
 	g, _ := p.carrier.Group("g")
 	is.True(g.IsGateway()) // it does not know its peers
 	p.peersKnown.Store(true)
--- a/replacer/message.go
+++ b/replacer/message.go
@@ -33,8 +33,8 @@
 	Accepted
 	// Rejected: a higher token was used, or the upstream isn't running.
 	Rejected
-	// NotNow: nothing was done; the order may be repeated.
-	NotNow
+	// Retryable: nothing was done; the order may be repeated.
+	Retryable
 )
 
 // String returns the outcome in lower case.
--- a/replacer/replacer_test.go
+++ b/replacer/replacer_test.go
@@ -316,7 +316,7 @@
 	before := len(s.orders)
 	s.advance(2 * time.Second)
 	is.Equal(s.orders[before].Token, s.view.Token)
-	is.Equal(fmt.Sprint(Rejected, NotNow, NoAnswer, Accepted), "rejected not now no answer accepted")
+	is.Equal(fmt.Sprint(Rejected, Retryable, NoAnswer, Accepted), "rejected not now no answer accepted")
 }
 
 // Guards against the loss of an acknowledged commit in a failover: a suspended replica
--- a/throttler/bank.go
+++ b/throttler/bank.go
@@ -6,10 +6,10 @@
 type Verdict struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
-	// Unsure says that credits of too few processes have arrived lately to decide: this
+	// Undecided says that credits of too few processes have arrived lately to decide: this
 	// process has just become the owner, or is cut off from most of the fleet. The same
 	// request may be granted a moment later.
-	Unsure bool
+	Undecided bool
 	// RetryAfter is the time after which it makes sense to retry a refused operation.
 	RetryAfter time.Duration
 }
@@ -115,7 +115,7 @@
 		return Verdict{RetryAfter: maxTokenLife}
 	}
 	retryAfter := time.Duration((1 - unspent) / limit.rate * float64(time.Second))
-	return Verdict{Unsure: coverage(credits, now) < minCoverage, RetryAfter: max(retryAfter, minRetryAfter)}
+	return Verdict{Undecided: coverage(credits, now) < minCoverage, RetryAfter: max(retryAfter, minRetryAfter)}
 }
 
 // coverage returns the part of the fleet whose credits have arrived lately.
--- a/throttler/fleet_test.go
+++ b/throttler/fleet_test.go
@@ -155,7 +155,7 @@
 		switch {
 		case v.Granted:
 			f.granted = append(f.granted, f.now)
-		case v.Unsure && timeLeft > v.RetryAfter:
+		case v.Undecided && timeLeft > v.RetryAfter:
 			f.after(max(v.RetryAfter, time.Millisecond), func() { f.request(p, workspace, timeLeft-max(v.RetryAfter, time.Millisecond)) })
 		default:
 			f.refused++
@@ -177,7 +177,7 @@
 			delete(p.pending, id)
 			p.node.OwnerTimedOut(NewID(owner.Name), f.now.Add(p.skew))
 			timeLeft -= timeout
-			reply(Verdict{Unsure: true})
+			reply(Verdict{Undecided: true})
 		}
 	})
 }
--- a/throttler/node.go
+++ b/throttler/node.go
@@ -277,7 +277,7 @@
 		return r.verdict, nil
 	}
 	if quota == nil {
-		return Verdict{Unsure: true, RetryAfter: minRetryAfter}, nil
+		return Verdict{Undecided: true, RetryAfter: minRetryAfter}, nil
 	}
 	v, out := n.Take(m.Workspace, *quota, now)
 	if n.replies == nil {
@@ -319,7 +319,7 @@
 // Take spends a token of a workspace at this process.
 func (n *Node) Take(workspace string, q cataloger.Quota, now time.Time) (Verdict, []Envelope) {
 	v := n.ledger.take(workspace, n.Tolerance.tokenLimit(q), now)
-	if !v.Unsure {
+	if !v.Undecided {
 		return v, nil
 	}
 	return v, n.claimShard(Shard(workspace), now)
--- a/throttler/node_test.go
+++ b/throttler/node_test.go
@@ -171,7 +171,7 @@
 	for range 10 {
 		n.Tick(now)
 		v, _ := n.Take("w", small, now)
-		is.True(!v.Granted && v.Unsure)
+		is.True(!v.Granted && v.Undecided)
 		now = now.Add(tickInterval)
 	}
 	n.IsFleetKnown = true
@@ -215,7 +215,7 @@
 	is := is.New(t)
 	m := Message{
 		Kind: Reply, From: NewID("a"), To: NewID("b"), ID: 7, Shard: 3, Workspace: "w", Span: time.Second, Fleet: 9, OwnerClock: 5, ClockAge: time.Minute,
-		Verdict: Verdict{Unsure: true, RetryAfter: time.Second}, Leaving: true,
+		Verdict: Verdict{Undecided: true, RetryAfter: time.Second}, Leaving: true,
 	}
 	b, err := Encode(&m)
 	is.NoErr(err)
