--- a/assigner/assign.go
+++ b/assigner/assign.go
@@ -12,15 +12,15 @@
 // preferredGateways is how many gateways a group has unless there are more zones than that:
 // some may fail, and each zone has one nearby. Each additional gateway is another queue in
 // front of the few slots of the upstreams, whose statements cannot be ordered with those of
-// the other gateways; it samples leaders by itself, and all other proxies report on it every
-// half second.
+// the other gateways; it takes its own position samples of leaders, and all other proxies
+// report on it every half second.
 const preferredGateways = 6
 
 // Proxy is a process that may be a gateway.
 type Proxy struct {
 	Name string
 	Zone string
-	// Millicores is its CPU in thousandths of a core; zero counts as one.
+	// Millicores is its CPU in thousandths of a core; zero counts as one thousandth.
 	Millicores int
 }
 
@@ -121,7 +121,7 @@
 }
 
 // assign gives a group to n proxies of the zone: the first in its order that have quota left.
-// If there are too few of those, because others with quota already have the group, proxies
+// A proxy gets a group only once. So there may be too few with quota left, and proxies
 // without quota follow.
 func (z *zone) assign(group string, n int) []string {
 	order := make([]candidate, 0, len(z.proxies))
--- a/assigner/doc.go
+++ b/assigner/doc.go
@@ -2,11 +2,12 @@
 // connections to its upstreams, where there are too few connections for all proxies. The
 // other proxies forward their statements to the gateways.
 //
-// A group gets the same number of gateways in each availability zone, up to two, so that
-// one may fail and most statements stay in their zone. Within a zone each proxy gets
-// groups in proportion to its share of the zone's CPU: a proxy with four times the CPU of
-// the others gets up to four times as many, and no proxy gets several while others have
-// none.
+// A group gets six gateways, or one in each availability zone if there are more zones,
+// unless its upstreams accept fewer. They are spread evenly over the zones, two in each of
+// three, so that one may fail and most statements stay in their zone. Within a zone each
+// proxy gets groups in proportion to its share of the zone's CPU: a proxy with four times
+// the CPU of the others gets up to four times as many, and no proxy gets several while
+// others have none.
 //
 // Every proxy computes the assignment by itself, from what it knows of the others. Proxies
 // with the same knowledge compute the same assignment. Groups are assigned by weighted
--- a/gossiper/doc.go
+++ b/gossiper/doc.go
@@ -11,17 +11,17 @@
 // the same entries hold the same list, in whatever order the entries arrived. The entry
 // with the later start and incarnation wins, and a process refutes a false entry about
 // itself with a higher incarnation. Updates are piggybacked on datagrams, a bounded
-// number on each. Datagrams also carry a hash of the list, and a process whose list
+// number on each. Datagrams also contain a hash of the list, and a process whose list
 // differs from that of most others requests the whole list from one of them.
 //
 // # Failure detection
 //
 // All processes lie on four hash rings, each in another order, and send to their
 // successor on each ring. So each process is monitored by up to four others, whatever the
-// size of the fleet. A process that they no longer receive is marked suspect, and after
-// half a minute dead. Work is divided among all processes that are not dead, so that a
-// lost datagram moves nothing. The gateways of a group send to each other in each
-// round, and decide by what they have received themselves.
+// size of the fleet. A process from which they no longer receive anything is marked
+// suspect, and after half a minute dead. Work is divided among all processes that are not
+// dead, so that a lost datagram moves nothing. The gateways of a group send to each other
+// in each round, and decide by what they have received themselves.
 //
 // Each process sends its whole state, a few hundred bytes, in one datagram several times
 // a second. Nothing is acknowledged. The number of targets depends on how many processes
--- a/gossiper/fleet_test.go
+++ b/gossiper/fleet_test.go
@@ -156,8 +156,8 @@
 }
 
 // Guards against a fleet that stays divided after a partition, and against live processes
-// that are dropped: a third is cut off for 12 s, each side suspects the other, and after
-// the partition every suspicion has to be refuted.
+// that are dropped: a third is partitioned from the rest for 12 s, each side suspects the
+// other, and after the partition every suspicion has to be refuted.
 func TestPartitionedFleetReconverges(t *testing.T) {
 	forEachSize(t, func(t *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
@@ -207,7 +207,7 @@
 }
 
 // Guards against a process that serves nobody because it restarts while the store is
-// away and waits for it. It knows no peers then, but peers send to it.
+// unavailable, and waits for it. It knows no peers then, but peers send to it.
 func TestListComesFromPeersWithoutStore(t *testing.T) {
 	forEachSize(t, func(_ *testing.T, is *is.I, f *fleet, n int) {
 		f.bootAll()
@@ -221,8 +221,8 @@
 	})
 }
 
-// Guards against a fleet that receives in turn that a process is dead and that it is
-// alive, for as long as the link between two processes is cut while all others reach
+// Guards against a fleet that receives in turn updates that a process is dead and that it
+// is alive, for as long as the link between two processes is cut while all others reach
 // both: one of the two suspects the other, which refutes it.
 func TestCutLinkCausesFewUpdates(t *testing.T) {
 	is := is.New(t)
@@ -248,9 +248,9 @@
 	}
 }
 
-// Guards against a process that was suspended for 5 s, and then suspects all others and
-// sends them that, because it judges by what it has read while later datagrams are still
-// unread.
+// Guards against a process that was paused for 5 s, and then suspects all others and
+// sends them these suspicions, because it judges by what it has read while later datagrams
+// are still unread.
 func TestPausedProcessSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -272,8 +272,8 @@
 }
 
 // Guards against a process that all ignore for ten minutes after its clock was set back
-// and it restarted: starts under one name are told apart by their time, and the later
-// one wins.
+// and it restarted: starts under one name are distinguished by their time, and
+// the later one wins.
 func TestRestartWithEarlierClockIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(20, 0)
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -52,8 +52,8 @@
 	roster       Roster
 	lastReceived time.Time // time of the last state received
 
-	decodeErrors      atomic.Int64 // datagrams that could not be decoded
-	decodeErrorLogged time.Time    // time of the last log line about one
+	decodeErrors        atomic.Int64 // datagrams that could not be decoded
+	decodeErrorLoggedAt time.Time    // time of the last log line about one
 
 	done          chan struct{}
 	peersDue      chan struct{} // signals a round to all targets
@@ -80,20 +80,20 @@
 // LocalAddr returns the address of the socket. Call it after Start.
 func (g *Gossiper) LocalAddr() netip.AddrPort { return g.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Stop closes the socket.
+// Stop closes the socket and ends sending and receiving.
 func (g *Gossiper) Stop() {
 	close(g.done)
 	_ = g.conn.Close() // nothing more is sent or awaited
 }
 
-// NotifyPeers triggers a round now, to the processes that decide together with this one.
-// Calls in quick succession make one round.
+// NotifyPeers triggers a round now, so that the processes that decide together with this
+// one receive its state. Calls in quick succession make one round.
 func (g *Gossiper) NotifyPeers() { signal(g.peersDue) }
 
-// NotifySuccessors sends the state to the ring successors now, because this process has
-// newer data of the store. Each receiver that did not have it sends it on, until all
-// processes have it. Sent to all targets of a round instead, each change would cost more
-// datagrams the more gateways the groups have, most of them to processes that have it
+// NotifySuccessors sends the state to the ring successors now. Call it when this process
+// has newer data of the store. Each receiver that did not have the data sends it on, until
+// all processes have it. Sent to all targets of a round instead, each change would cost
+// more datagrams the more gateways the groups have, most of them to processes that have it
 // already.
 func (g *Gossiper) NotifySuccessors() { signal(g.successorsDue) }
 
@@ -106,7 +106,7 @@
 }
 
 // AddListed adds a process from the store's list: its name, availability zone,
-// processor and addresses.
+// CPU and addresses.
 func (g *Gossiper) AddListed(s State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,12 +132,12 @@
 // logChanges logs changes of processes' conditions.
 func (g *Gossiper) logChanges(changes []Change) {
 	for _, c := range changes {
-		heard := zap.Skip()
+		sinceLastSeen := zap.Skip()
 		if !c.LastSeen.IsZero() {
-			heard = zap.Duration("heard", g.Now().Sub(c.LastSeen))
+			sinceLastSeen = zap.Duration("heard", g.Now().Sub(c.LastSeen))
 		}
 		g.Log.Info("gossiper: process is "+c.Condition.String(), zap.String("process", c.Name), zap.Stringer("before", c.Before),
-			zap.Int64("start", c.Start), zap.Uint32("incarnation", c.Incarnation), heard)
+			zap.Int64("start", c.Start), zap.Uint32("incarnation", c.Incarnation), sinceLastSeen)
 	}
 }
 
@@ -149,10 +149,10 @@
 func (g *Gossiper) countDecodeError(err error) {
 	count := g.decodeErrors.Add(1)
 	now := g.Now()
-	if now.Sub(g.decodeErrorLogged) < time.Second {
+	if now.Sub(g.decodeErrorLoggedAt) < time.Second {
 		return
 	}
-	g.decodeErrorLogged = now
+	g.decodeErrorLoggedAt = now
 	g.Log.Warn("gossiper: datagram dropped", zap.Int64("so far", count), zap.Error(err))
 }
 
@@ -214,8 +214,8 @@
 	return out
 }
 
-// IsPartitioned reports whether no datagram has arrived for so long that this process
-// is cut off from its peers, if it has any: several arrive in each half second.
+// IsPartitioned reports whether this process has peers and no state of any has arrived
+// for partitionTimeout. In all but the smallest fleets several arrive in each half second.
 func (g *Gossiper) IsPartitioned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossiper/harness_test.go
+++ b/gossiper/harness_test.go
@@ -33,7 +33,7 @@
 	datagramsSent, updatesSent, listsSent, successorDatagrams int
 }
 
-// proc is one process. Its machine can be without power, or cut off.
+// proc is one process. Its machine can be without power, or partitioned from the others.
 type proc struct {
 	Roster
 	name          string
--- a/gossiper/list.go
+++ b/gossiper/list.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// withIdentity returns the start, incarnation and condition of m with the other fields of
-// a known entry.
+// withIdentity returns the start, incarnation and condition of m with the identity of a
+// known entry: its other fields.
 func (m *Member) withIdentity(known *Member) Member {
 	out := *known
 	out.Start, out.Incarnation, out.Condition = m.Start, m.Incarnation, m.Condition
@@ -108,14 +108,14 @@
 }
 
 // ShouldRequestList reports whether to request the list of a process that sent this
-// digest, and records the request. A process requests the list when it differs from most
-// of those it receives: two that differ from all others in the same way must not take
-// each other for the fleet.
+// digest, and records the request. A process requests a list when most of the digests that
+// it receives differ from its own: two processes that differ from all others in the same
+// way must not take each other for the fleet.
 func (r *Roster) ShouldRequestList(digest uint32, now time.Time) bool {
-	if digest == r.digest || r.dissent < dissentThreshold || now.Sub(r.listRequested) < listRequestInterval {
+	if digest == r.digest || r.dissent < dissentThreshold || now.Sub(r.listRequestedAt) < listRequestInterval {
 		return false
 	}
-	r.listRequested, r.dissent = now, 0
+	r.listRequestedAt, r.dissent = now, 0
 	return true
 }
 
--- a/gossiper/member.go
+++ b/gossiper/member.go
@@ -14,7 +14,7 @@
 // incarnation.
 const (
 	Alive   Condition = iota
-	Suspect           // not received by the processes that it sends to in each round
+	Suspect           // sends nothing to some process that it should send to in each round
 	Dead              // suspect for so long that it no longer counts as part of the fleet
 )
 
@@ -61,8 +61,8 @@
 	) > 0
 }
 
-// compact drops the identity, which each process that knows the member has, unless the
-// member is alive.
+// compact returns the member as it is sent in updates: unless it is alive, without its
+// zone, addresses and CPU, which each process that knows the member has.
 func (m *Member) compact() Member {
 	if m.Condition == Alive {
 		return *m
--- a/gossiper/roster.go
+++ b/gossiper/roster.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Roster is one process's knowledge of the fleet: the membership list, on which all
-// processes converge, and, apart from it, when each peer was last received. Its zero
-// value is empty.
+// processes converge, and, apart from it, when a state of each peer was last
+// received. Its zero value is empty.
 type Roster struct {
 	self    Member
 	peers   map[string]*record
@@ -23,9 +23,9 @@
 
 	changes          []Change        // since the last call of Changes
 	groupPeers       map[string]bool // gateways of the same groups, by the assignment
-	wronglySuspected map[string]bool // suspect or dead in the list, but received: they are sent the entry
+	wronglySuspected map[string]bool // received although their entry contradicts it: they are sent the entry
 	lastSweep        time.Time
-	listRequested    time.Time // time of the last request for another process's list
+	listRequestedAt  time.Time // time of the last request for another process's list
 	agreedInRow      int       // equal digests received in a row
 	dissent          int       // differing digests received minus equal ones, not below 0
 }
@@ -125,9 +125,10 @@
 	}
 }
 
-// notifySuspect makes the next round include a process that is received although the
-// list has it as suspect or dead. Only the process itself can refute that, and without it
-// those that it does not send to would accept the entry.
+// notifySuspect makes the next round send a process its entry in the list: it is received
+// although the entry is suspect or dead, or about a later start. Only the process itself
+// can refute the entry, and unrefuted it would be accepted by those that the process does
+// not send to.
 func (r *Roster) notifySuspect(p *record) {
 	if r.wronglySuspected == nil {
 		r.wronglySuspected = map[string]bool{}
@@ -167,8 +168,8 @@
 }
 
 // Reachable reports whether requests may be sent to a process, and returns its last
-// state. A process that need not be received in each round counts as reachable while
-// no entry says otherwise.
+// state. One that was not received lately counts as reachable while its entry is alive
+// and no datagram expected from it is overdue by suspectTimeout.
 func (r *Roster) Reachable(name string, now time.Time) (Peer, bool) {
 	p := r.peers[name]
 	if p == nil || !p.isReachable(now) {
--- a/gossiper/roster_test.go
+++ b/gossiper/roster_test.go
@@ -60,7 +60,7 @@
 		r.Sweep(at)
 		switch since := at.Sub(now); {
 		case since < neverSeenTimeout:
-			is.Equal(len(r.Fleet()), 3) // it may just be cut off
+			is.Equal(len(r.Fleet()), 3) // it may just be partitioned
 		case since > neverSeenTimeout+RoundInterval && since < deadTimeout:
 			is.Equal(len(r.Fleet()), 2) // nothing was ever received from it
 		case since > 2*deadTimeout+aliveTimeout+RoundInterval:
@@ -95,8 +95,8 @@
 }
 
 // Guards against a change of leader that takes seconds longer in a large fleet: when a
-// gateway of a group sees a fault, the other gateways must not receive that by chance
-// only, every few rounds.
+// gateway of a group sees a fault, the other gateways must not receive its report
+// by chance only, every few rounds.
 func TestGatewaysOfAGroupAreTargets(t *testing.T) {
 	is := is.New(t)
 	var r Roster
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against a process that is cut off from all others and offers them statements
+// Guards against a process that is partitioned from all others and offers them statements
 // for seconds: without a check of all peers together each one counts as live until its own
 // timeout, some seconds in a large fleet.
 func TestPartitionIsDetected(t *testing.T) {
@@ -177,9 +177,9 @@
 }
 
 // Guards against a restarted process that is sent nothing and offered nothing: it restarts
-// and dies before this process has received it, and others send that the later start is
-// suspect and then that it is alive. An entry of suspicion contains no addresses, and must
-// not remove the known ones.
+// and dies before this process has received a state of the later start, and others send
+// updates that this start is suspect and then that it is alive. An entry of suspicion
+// contains no addresses, and must not remove the known ones.
 func TestSuspicionOfLaterStartKeepsAddresses(t *testing.T) {
 	is := is.New(t)
 	var r Roster
--- a/gossiper/state.go
+++ b/gossiper/state.go
@@ -13,7 +13,7 @@
 	// RoundInterval is the time between two rounds of datagrams.
 	//
 	// Updates are sent at once, so the interval only bounds how late a failure is detected.
-	// A longer one saves traffic between zones, which is paid for.
+	// A longer interval saves traffic between zones, which is paid for.
 	RoundInterval = 500 * time.Millisecond
 	// maxFullMesh is the largest number of peers with which each process sends to all
 	// others.
@@ -36,25 +36,27 @@
 	// suspect. With a tenth of the datagrams lost, one of the four that monitor a process
 	// is wrong once in 250,000 rounds.
 	suspectTimeout = aliveTimeout + 2*RoundInterval
-	// partitionTimeout is the time without any datagram after which this process counts as
-	// cut off from all peers. At least four arrive in each half second.
+	// partitionTimeout is the time without a state of any peer after which this process
+	// counts as partitioned from all of them. In all but the smallest fleets several arrive
+	// in each half second.
 	partitionTimeout = 3 * RoundInterval / 2
 	// firstContactTimeout replaces suspectTimeout until the first datagram since a process
 	// is expected to send: the processes may not agree yet on who sends to whom.
 	firstContactTimeout = 8 * RoundInterval
 	// deadTimeout is how long a suspect process stays in the fleet, since it may hold
-	// connections and come back. One that is cut off from the others keeps its own
+	// connections and come back. One that is partitioned from the others keeps its own
 	// connections.
 	deadTimeout = 30 * time.Second
 	// neverSeenTimeout is how long a listed process from which no datagram was ever
 	// received stays in the fleet.
 	neverSeenTimeout = 8 * time.Second
 	// refutedDelay is how long a process does not suspect another one again after a
-	// refutation. Where only the link between the two is cut, the fleet would receive a
-	// failure and a return every few seconds.
+	// refutation. Otherwise, where only the link between the two is cut, the fleet would
+	// receive a failure and a return every few seconds.
 	refutedDelay = 30 * time.Second
 	// pauseThreshold is the time between two rounds beyond which this process was paused:
-	// datagrams that came meanwhile are still unread, and it suspects nobody for them.
+	// datagrams that came meanwhile are still unread, and it suspects nobody for lack of
+	// them.
 	pauseThreshold = aliveTimeout / 2
 	// removeTimeout is how long a dead process is kept before it is removed from the list.
 	removeTimeout = 10 * time.Minute
@@ -88,7 +90,7 @@
 type GroupState struct {
 	Leader      string      `cbor:"1,keyasint,omitempty"`
 	LeaderFault LeaderFault `cbor:"2,keyasint,omitempty"`
-	// IsGateway says that the sender has connections to the group's upstreams.
+	// IsGateway is set if the sender has connections to the group's upstreams.
 	IsGateway bool `cbor:"3,keyasint,omitempty"`
 	// Token is the fencing token of the sender's lease for the group; zero without a
 	// lease.
@@ -104,7 +106,7 @@
 type State struct {
 	Name  string `cbor:"1,keyasint"`
 	Zone  string `cbor:"2,keyasint"`
-	Start int64  `cbor:"3,keyasint"` // tells restarts under one name apart; later ones are greater
+	Start int64  `cbor:"3,keyasint"` // distinguishes restarts under one name; later ones are greater
 	// The addresses of the sender: for datagrams, for statements forwarded to it as a
 	// gateway, and for HTTP.
 	GossipAddr    netip.AddrPort `cbor:"4,keyasint"`
@@ -117,16 +119,16 @@
 	// is complete up to an earlier version requests the entries from the sender.
 	CatalogComplete versioner.Version `cbor:"17,keyasint,omitzero"`
 	CatalogDigest   uint64            `cbor:"12,keyasint"`
-	// Millicores is the sender's processor in thousandths of a core.
+	// Millicores is the sender's CPU in thousandths of a core.
 	Millicores uint16 `cbor:"13,keyasint,omitempty"`
 	// StoreReadAges has an item for each kind of the store's objects that is read as a
-	// whole, in an order known to all: how long before sending a process last read it, as
-	// far as the sender knows.
+	// whole, in an order known to all: how long before the state was sent some process last
+	// read that kind, as far as the sender knows.
 	StoreReadAges []time.Duration `cbor:"9,keyasint,omitempty"`
 	Leaving       bool            `cbor:"10,keyasint,omitempty"`
 	// Groups are those that the sender is a gateway for, or holds the lease of.
 	Groups map[string]GroupState `cbor:"11,keyasint,omitempty"`
-	// Incarnation is raised by the sender to refute that it is suspect or dead.
+	// Incarnation is raised by the sender to refute an entry that it is suspect or dead.
 	Incarnation uint32 `cbor:"14,keyasint,omitempty"`
 	// FleetDigest is a hash of the sender's membership list, and Updates what it has
 	// learned lately about members.
--- a/gossiper/targets.go
+++ b/gossiper/targets.go
@@ -25,7 +25,7 @@
 func (r *Roster) Targets(self State, rng *rand.Rand) []netip.AddrPort {
 	r.refreshRings()
 	var holders, leaseGateways, gateways []netip.AddrPort
-	all := len(r.peers) <= maxFullMesh
+	fullMesh := len(r.peers) <= maxFullMesh
 	for _, p := range r.sorted {
 		recent := r.lastSweep.Sub(p.LastSeen) < aliveTimeout // an older state need not hold any more
 		switch {
@@ -33,7 +33,7 @@
 			holders = append(holders, p.GossipAddr)
 		case recent && HoldsLeaseFor(self, p.State):
 			leaseGateways = append(leaseGateways, p.GossipAddr)
-		case all || r.groupPeers[p.Name] || r.wronglySuspected[p.Name] || recent && shareGroup(self, p.State):
+		case fullMesh || r.groupPeers[p.Name] || r.wronglySuspected[p.Name] || recent && shareGroup(self, p.State):
 			gateways = append(gateways, p.GossipAddr)
 		}
 	}
@@ -43,7 +43,7 @@
 		rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
 	gateways = slices.Concat(holders, leaseGateways, gateways)
-	if all {
+	if fullMesh {
 		return gateways
 	}
 	return r.addOthers(gateways[:min(len(gateways), MaxGroupPeers)], rng)
--- a/gossiper/watch.go
+++ b/gossiper/watch.go
@@ -64,11 +64,11 @@
 	case p.expectedSince.IsZero():
 		p.expectedSince = now
 	}
-	limit := firstContactTimeout
+	timeout := firstContactTimeout
 	if p.LastSeen.After(p.expectedSince) {
-		limit = suspectTimeout
+		timeout = suspectTimeout
 	}
-	missing := !p.expectedSince.IsZero() && now.Sub(later(p.LastSeen, p.expectedSince)) >= limit
+	missing := !p.expectedSince.IsZero() && now.Sub(later(p.LastSeen, p.expectedSince)) >= timeout
 	switch {
 	case p.entry.Condition == Alive && missing && now.After(p.trustedUntil):
 		r.announce(p, Suspect, now)
--- a/limiter/admitter.go
+++ b/limiter/admitter.go
@@ -33,7 +33,7 @@
 
 // minUsed returns the least service received by any tenant that has waiting items. A
 // tenant that returns after a pause starts near it, so that it cannot claim the service
-// that it did not ask for in the meantime.
+// that it did not request in the meantime.
 func (q *Queue) minUsed() time.Duration {
 	lowest := time.Duration(-1)
 	for t := range q.accounts {
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -26,9 +26,9 @@
 }
 
 // Acquire waits for a slot. If there is none in time, the ticket is zero and the
-// outcome is not run, with its cause and the time to try again. Otherwise the ticket
-// must be given back by Release. The wait ends with the context, which should have the
-// item's deadline.
+// outcome is retrier.NotRun, with its cause and the time to try again. Otherwise the
+// ticket must be given back by Release. The wait ends with the context, which should
+// have the item's deadline.
 func (g *Gate) Acquire(ctx context.Context, it Item) (Ticket, retrier.Outcome) {
 	g.mu.Lock()
 	t, refusal := g.Queue.Offer(g.Now(), it)
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -14,7 +14,7 @@
 const (
 	// Lookup is a read that may return stale data.
 	Lookup Class = iota
-	// Booking is work that writes, or must see, the latest state.
+	// Booking is work that writes or must see the latest state.
 	Booking
 	// Session is work that must see the writes of its own session.
 	Session
@@ -45,7 +45,7 @@
 type Ticket uint64
 
 // Event reports what became of a queued item: either it was granted a slot, or it was
-// refused and has not run. RetryAt is when a refused item is worth offering again.
+// refused and has not run. RetryAt is when it makes sense to offer a refused item again.
 type Event struct {
 	Ticket  Ticket
 	Granted bool
@@ -60,9 +60,9 @@
 	// maxTenantLead is how many mean service times a tenant may be ahead of another
 	// before its requests are refused first.
 	maxTenantLead = 4
-	// returnCredit is how many lookups' service time a tenant that returns after a
-	// pause may be below the waiting tenant with the least service received, for what
-	// it left to the others.
+	// returnCredit is how many mean service times of a lookup a tenant that returns
+	// after a pause may start below the waiting tenant with the least service received,
+	// in return for what it left to the others.
 	returnCredit = 16
 	// ewmaDivisor is the inverse weight of a new sample in the moving average of the
 	// service time.
@@ -88,7 +88,9 @@
 }
 
 type account struct {
-	used   time.Duration // service time received, on the same scale for all tenants
+	// used is the service time received, on the same scale for all tenants. insert raises
+	// it when the tenant returns after a pause.
+	used   time.Duration
 	queued time.Duration // expected service time of its waiting items
 	count  int           // its waiting items
 }
@@ -324,7 +326,8 @@
 	return Ticket(q.nodes[i].generation)<<32 | Ticket(i+1)
 }
 
-// find returns the node of a ticket and whether it is in the given phase.
+// find returns the index of a ticket's node, and whether the ticket is still valid and the
+// node in the given phase.
 func (q *Queue) find(t Ticket, p phase) (int32, bool) {
 	i := int32(uint32(t)) - 1
 	if i < 0 || int(i) >= len(q.nodes) {
--- a/limiter/shares.go
+++ b/limiter/shares.go
@@ -120,7 +120,7 @@
 	return &s.peers[i]
 }
 
-// ReceiveRecord takes the record as read from the platform or received from a peer. A
+// ReceiveRecord processes the record as read from the platform or received from a peer. A
 // record older than the known one is ignored.
 func (s *Shares) ReceiveRecord(r Record) {
 	if r.LastSeq() < s.record.LastSeq() || len(r.Views) == 0 {
@@ -131,7 +131,7 @@
 	s.retire()
 }
 
-// ReceiveConfirmation takes a member's confirmation that it has seen view seq and keeps
+// ReceiveConfirmation processes a member's confirmation that it has seen view seq and keeps
 // to it. Confirmations may be lost, duplicated or delayed.
 func (s *Shares) ReceiveConfirmation(from Member, seq uint64) {
 	p := s.peer(from)
@@ -147,8 +147,8 @@
 	s.retire()
 }
 
-// retire moves base up to the newest view that all members of the views before it keep
-// to.
+// retire moves base up to the newest view that all members of the views in use before it
+// keep to, except those that have ended.
 func (s *Shares) retire() {
 	for i := len(s.record.Views) - 1; i > 0; i-- {
 		view := s.record.Views[i]
@@ -162,7 +162,8 @@
 	}
 }
 
-// keptByAll reports whether every member of the views still in use keeps to view seq.
+// keptByAll reports whether every member of the views in before that are still in use
+// keeps to view seq or has ended.
 func (s *Shares) keptByAll(seq uint64, before []View) bool {
 	for _, v := range before {
 		if v.Seq < s.base {
--- a/limiter/window.go
+++ b/limiter/window.go
@@ -69,8 +69,9 @@
 	return w.Max
 }
 
-// Observe takes the service time of an answered request, and whether the whole window
-// was in use when it ended.
+// Observe adds a sample of the service time, and whether the whole window was in use when
+// the request ended. The request was answered, or has run for longer than the mean without
+// an answer.
 func (w *Window) Observe(c Class, elapsed time.Duration, full bool) {
 	lowest := w.means[c].add(float64(elapsed))
 	if w.Fixed || lowest == 0 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// add takes a sample and returns the minimum mean, zero before there is one.
+// add adds a sample and returns the minimum mean, zero before there is one.
 func (l *minMean) add(elapsed float64) float64 {
 	l.sum += elapsed
 	l.count++
--- a/limiter/writeoff.go
+++ b/limiter/writeoff.go
@@ -57,12 +57,12 @@
 // with no more than the time after which it is overdue, and not at all if it was
 // overtaken, as its answer was lost then.
 func (q *Queue) sample(n *node, now time.Time, served bool) (time.Duration, bool) {
-	took := now.Sub(n.grantedAt)
+	elapsed := now.Sub(n.grantedAt)
 	switch {
 	case served:
-		return took, true
+		return elapsed, true
 	case !q.overdue(n, now):
-		return took, took > q.meanService[n.item.Class]
+		return elapsed, elapsed > q.meanService[n.item.Class]
 	default:
 		return q.lostTimeout(n), !n.overtaken
 	}
--- a/throttler/bank.go
+++ b/throttler/bank.go
@@ -6,8 +6,8 @@
 type Verdict struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
-	// Undecided says that credits of too few processes have arrived lately to decide: this
-	// process has just become the owner, or is cut off from most of the fleet. The same
+	// Undecided is set if credits of too few processes have arrived lately to decide: this
+	// process has just become the owner, or is partitioned from most of the fleet. The same
 	// request may be granted a moment later.
 	Undecided bool
 	// RetryAfter is the time after which it makes sense to retry a refused operation.
@@ -20,7 +20,7 @@
 	coverageWindow = 500 * time.Millisecond
 	// minCoverage is the part of the fleet whose credits must have arrived.
 	minCoverage = 0.5
-	// minRetryAfter is the shortest time that a caller is told to wait.
+	// minRetryAfter is the minimum RetryAfter of a refusal.
 	minRetryAfter = 50 * time.Millisecond
 	// idleTimeout is how long the spending of a workspace is kept after its last operation.
 	idleTimeout = 2 * maxTokenLife
@@ -89,11 +89,11 @@
 
 // unspent returns how many tokens of a bucket a workspace has not spent.
 func (l *ledger) unspent(credits *ring, a *account, limit tokenLimit, bucket int64) float64 {
-	m, s := credits.at(bucket), a.at(bucket)
-	if m == nil || s == nil {
+	creditedSeconds, spentTokens := credits.at(bucket), a.at(bucket)
+	if creditedSeconds == nil || spentTokens == nil {
 		return 0
 	}
-	return max(0, limit.rate**m-*s)
+	return max(0, limit.rate**creditedSeconds-*spentTokens)
 }
 
 func (l *ledger) account(workspace string, now time.Time) *account {
@@ -124,8 +124,8 @@
 	begin := bucketOf(now.Add(-2*CreditInterval - coverageWindow))
 	sum := 0.0
 	for bucket := begin; bucket < end; bucket++ {
-		if m := credits.at(bucket); m != nil {
-			sum += *m
+		if creditedSeconds := credits.at(bucket); creditedSeconds != nil {
+			sum += *creditedSeconds
 		}
 	}
 	return sum / coverageWindow.Seconds()
--- a/throttler/designs_test.go
+++ b/throttler/designs_test.go
@@ -46,14 +46,14 @@
 		burst := limit.rate * limit.life.Seconds() / float64(parts)
 		buckets[i] = localBucket{rate: limit.rate / float64(parts), burst: max(1, burst), level: max(1, burst)}
 	}
-	asked, refused := 0, 0
+	requested, refused := 0, 0
 	for now := time.Duration(0); now < loadDuration; now += time.Duration(rng.ExpFloat64() / load * float64(time.Second)) {
-		asked++
+		requested++
 		if !buckets[choose(rng)].take(now) {
 			refused++
 		}
 	}
-	return float64(refused) / float64(asked)
+	return float64(refused) / float64(requested)
 }
 
 // Compares designs for a quota: the part of a load below the quota that is refused when it
--- a/throttler/doc.go
+++ b/throttler/doc.go
@@ -10,13 +10,11 @@
 // which its quota's rate produces the burst. So nothing needs to be handed over when the
 // owner changes: the tokens of the old one expire by themselves.
 //
-// A process that does not know yet how large the fleet is produces no tokens.
-//
 // So the limit does not depend on which processes consider themselves owners. Two halves
 // of a partitioned fleet have two owners of a shard, each with the tokens of its half. A
-// process that restarts begins to produce tokens when it starts. A span is lost if its
-// message is lost or late, or if its owner dies. Where the limit would be in doubt, fewer
-// operations are granted.
+// process that restarts begins to produce tokens when it starts, but credits no span
+// before it knows how large the fleet is. A span is lost if its message is lost or late,
+// or if its owner dies. Where the limit would be in doubt, fewer operations are granted.
 //
 // The package decides and does not send: a Node takes events and returns the messages to
 // send. It has no clock of its own; times are those of a clock that also counts the time
@@ -24,7 +22,8 @@
 //
 // # Usage
 //
-//	n := &throttler.Node{Self: name, Tolerance: tolerance}
+//	n := &throttler.Node{Self: name, Tolerance: tolerance, StartedAt: startedAt}
+//	n.IsFleetKnown = true // once the process knows the whole fleet
 //	n.SetFleet(self, others, size, now)
 //	send(n.Tick(now)) // several times in a CreditInterval
 //	send(n.Receive(message, from, quotas, now))
--- a/throttler/fleet_test.go
+++ b/throttler/fleet_test.go
@@ -57,7 +57,7 @@
 	processes []*process
 	queue     events
 	order     int
-	asked     uint64
+	requested uint64
 	sent      int
 	// granted is when each operation was granted, refused counts the others.
 	granted []time.Time
@@ -93,7 +93,7 @@
 	f.after(p.offset, func() { f.tick(p, node) })
 }
 
-// tick runs a process's tick. Processes that are cut off stay in the fleet.
+// tick runs a process's tick. Partitioned processes stay in the fleet.
 func (f *fleet) tick(p *process, node *Node) {
 	if p.down || p.node != node {
 		return
@@ -167,8 +167,8 @@
 		finish(v)
 		return
 	}
-	f.asked++
-	id := f.asked
+	f.requested++
+	id := f.requested
 	p.pending[id] = finish
 	f.send(p, []Envelope{{owner.Address, Message{Kind: Request, From: NewID(f.name(p)), To: NewID(owner.Name), ID: id, Workspace: workspace}}})
 	const timeout = 240 * time.Millisecond
--- a/throttler/member.go
+++ b/throttler/member.go
@@ -20,7 +20,7 @@
 type Member struct {
 	Name    string
 	Address netip.AddrPort
-	// Millicores is its processor in thousandths of a core; zero counts as one.
+	// Millicores is its CPU in thousandths of a core; zero counts as one thousandth.
 	Millicores int
 
 	id     ID
@@ -43,7 +43,7 @@
 }
 
 // score returns the member's rendezvous hashing score for a shard, weighted by its
-// processor: the probability of the highest score is its part of all processors.
+// CPU: the probability of the highest score is its share of the fleet's CPU.
 func (m *Member) score(shard int) float64 {
 	const steps = 1 << 53 // distinct values of a float64 between 0 and 1
 	hash := xxhash.Sum64(append([]byte("quota "+m.Name+" "), byte(shard)))
@@ -51,12 +51,13 @@
 	return -float64(max(1, m.Millicores)) / math.Log(uniform)
 }
 
-// fleetSizeWindow is how long the largest size of the fleet counts: a process cannot tell
-// a peer that has ended from one that it is cut off from, which still produces tokens.
+// fleetSizeWindow is how long the largest size of the fleet counts: a process cannot
+// distinguish a peer that has ended from one that it is partitioned from, which still
+// produces tokens.
 const fleetSizeWindow = 10 * time.Minute
 
-// sizeHistory tracks the largest size of the fleet within fleetSizeWindow, to a tenth of
-// it.
+// sizeHistory tracks the largest size of the fleet within fleetSizeWindow, with a
+// resolution of a tenth of the window.
 type sizeHistory struct {
 	sizes    [10]int
 	lastSlot int64
--- a/throttler/message.go
+++ b/throttler/message.go
@@ -12,8 +12,8 @@
 
 // The kinds. A Credit gives a span of time to an owner, which answers each with a
 // CreditAck. A Request asks the owner for a token, and is answered with a Reply. A process
-// that receives a Request and has too few credits to decide sends a Claim, which says
-// that it may be the owner.
+// that receives a Request and has too few credits to decide sends a Claim, which notifies
+// the others that it may be the owner.
 const (
 	Credit Kind = iota + 1
 	CreditAck
@@ -46,15 +46,15 @@
 	OwnerClock int64
 	ClockAge   time.Duration
 	Verdict    Verdict
-	// Leaving says in a CreditAck that the owner is shutting down.
+	// Leaving is set in a CreditAck if the owner is shutting down.
 	Leaving bool
 }
 
 // ErrMalformed marks errors of bytes that are not a message.
 var ErrMalformed = errors.New("throttler: malformed message")
 
-// Encode encodes a message. The first byte is not that of a CBOR map, which tells it
-// apart from other datagrams of the same socket.
+// Encode encodes a message. The first byte is not that of a CBOR map, which
+// distinguishes it from the states that package gossiper sends from the same socket.
 func Encode(m *Message) ([]byte, error) {
 	b, err := cbor.Marshal(m)
 	return b, errors.Wrap(err, "throttler: encode")
--- a/throttler/node.go
+++ b/throttler/node.go
@@ -58,19 +58,19 @@
 	Tolerance Tolerance
 	// StartedAt is when the process started. It produces tokens from then on.
 	StartedAt time.Time
-	// IsFleetKnown says that the process knows the whole fleet. Before that it produces no
-	// tokens: it would take the few processes that it knows for the whole fleet, and so its
-	// part for a larger one.
+	// IsFleetKnown is set once the process knows the whole fleet. Before that it credits no
+	// time: it would take the few processes that it knows for the whole fleet, and so its
+	// part for a larger one. Then it credits the time since StartedAt, at most maxTokenLife.
 	IsFleetKnown bool
-	// Leaving says that the process is shutting down: it asks senders of credits to choose
-	// another owner.
+	// Leaving is set once the process is shutting down: its acks request that the senders of
+	// credits choose another owner.
 	Leaving bool
 
 	others        []Member
 	self          Member
 	fleetSize     int
 	sizeHistory   sizeHistory
-	joined        bool
+	joined        bool              // SetFleet was called
 	creditedUntil [Shards]time.Time // up to when the time is credited
 	owners        [Shards]Member    // as this process computes them
 	ackDueSince   map[ID]time.Time  // since when an owner has not acked a credit
@@ -167,7 +167,7 @@
 	return changed
 }
 
-// OwnerTimedOut records that an owner did not answer a request.
+// OwnerTimedOut excludes an owner that did not answer a request, and chooses owners anew.
 func (n *Node) OwnerTimedOut(owner ID, now time.Time) {
 	n.exclude(owner, now)
 	n.chooseOwners(now)
@@ -287,8 +287,8 @@
 	return v, out
 }
 
-// claimShard returns the claims that tell all others that this process gets requests for a
-// shard: its owner may have ended, which the others would notice only later.
+// claimShard returns the claims that notify all others that this process gets requests for
+// a shard: its owner may have ended, which the others would notice only later.
 func (n *Node) claimShard(shard int, now time.Time) []Envelope {
 	if now.Sub(n.lastClaim[shard]) < claimInterval {
 		return nil
--- a/throttler/node_test.go
+++ b/throttler/node_test.go
@@ -93,7 +93,7 @@
 }
 
 // Guards against more operations than a quota allows, in any window: while processes end,
-// are cut off or restart, and messages are lost or late, at any moment.
+// are partitioned or restart, and messages are lost or late, at any moment.
 func TestQuotaHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(*histories) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/throttler/terms.go
+++ b/throttler/terms.go
@@ -7,8 +7,8 @@
 )
 
 // Tolerance says how exactly quotas hold: in any Window at most as many operations are
-// granted as rate, burst, Excess and Slack allow. The zero value allows rate and burst
-// in a second.
+// granted as (rate * Window + burst) * (1 + Excess) + Slack. The zero value allows rate and
+// burst in a second.
 type Tolerance struct {
 	Window time.Duration
 	// Excess is the part by which rate and burst may be exceeded, and Slack the number of
