--- a/carrier/absent.go
+++ b/carrier/absent.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// laterMark returns the later of two marks.
 func laterMark(a, b tracker.Mark) tracker.Mark {
 	if a.Less(b) {
 		return b
@@ -90,8 +91,8 @@
 }
 
 // appendAbsent appends the absent upstreams that a change of leader must take into account.
-// It also returns the position that the new leader's log must reach to cover the others.
-// The caller must hold g.mu.
+// It also returns the position that the new leader's log must reach to cover the other
+// absent upstreams and those that have restarted. The caller must hold g.mu.
 func (g *Group) appendAbsent(seen []UpstreamView, now time.Time) ([]UpstreamView, tracker.Mark) {
 	var minReceived tracker.Mark
 	for _, u := range g.upstreams {
--- a/carrier/admission.go
+++ b/carrier/admission.go
@@ -17,14 +17,14 @@
 // refused and deadlines have no effect.
 const (
 	// defaultMinWindow is how many statements this process may always have at an upstream
-	// whose number of slots is unknown.
+	// whose number of slots or of connections is unknown.
 	defaultMinWindow = 2
 	// slotFillFactor is the minimum number of statements that all processes together have
 	// at an upstream, for each of its slots. Half as many again as it has slots keep the
-	// slots busy while answers and the next statements are in transit. With two statements
-	// for each of many processes most of them queue in the upstream: processes that start
-	// after a power failure of the whole fleet then see no shorter service time and take
-	// that queueing for work.
+	// slots busy while answers and the next statements are in transit. If each of many
+	// processes had two statements there, most of these would queue in the upstream:
+	// processes that start after a power failure of the whole fleet would then see no
+	// shorter service time and mistake that queueing for work.
 	slotFillFactor = 1.5
 	// maxWindow bounds the growth of the window: twice an upstream's 5 or 6 slots and some
 	// more, so that one process alone can keep it busy.
@@ -63,9 +63,9 @@
 }
 
 // admissionClass returns the class that sets the value of an answer in time and the typical
-// service time. Bookings take a third of the time of a session's work. In one class with it
-// they were refused as if they took as long, and were refused first because their objective
-// is shorter.
+// service time. Bookings take a third of the time of a session's work. When both were in
+// one class, bookings were refused as if they took as long, and were refused first because
+// their objective is shorter.
 func (j *Job) admissionClass() limiter.Class {
 	switch {
 	case j.Freshness == cataloger.ReadYourWrites:
@@ -122,9 +122,9 @@
 }
 
 // hasAlternative reports whether a statement that an upstream's gate rejected may try
-// another upstream that probably has what it needs. One that is leaving does not count: it
-// is only chosen when nothing else is left, so the statement would be offered to the same
-// upstream again and again until its deadline.
+// another upstream that probably has what it needs, and marks the first one as tried. One
+// that is leaving does not count: it is only chosen when nothing else is left, so the
+// statement would be offered to the same upstream again and again until its deadline.
 func (g *Group) hasAlternative(u *upstream, j *Job, since tracker.Mark) bool {
 	if j.RequiresLeader() {
 		return false
--- a/carrier/admission_test.go
+++ b/carrier/admission_test.go
@@ -58,7 +58,7 @@
 func (l *slotLink) InitialMark() tracker.Mark { return mark(1, 1) }
 func (l *slotLink) Close() error              { return nil }
 
-// loadResult counts what callers get of an upstream with six slots under overload.
+// loadResult counts what callers get from an upstream with six slots under overload.
 type loadResult struct {
 	requests, inTime, late, refused int
 	refusedLate                     int // refused later than a quarter of the objective
--- a/carrier/carrier.go
+++ b/carrier/carrier.go
@@ -49,7 +49,7 @@
 
 	mu       sync.Mutex
 	groups   map[string]*Group
-	shares   map[string]int
+	shares   map[string]int // connections of this process to each upstream of a group
 	maxConns map[string]int // connections to each upstream of a group that all proxies share
 }
 
@@ -95,6 +95,7 @@
 	}
 }
 
+// ensure creates a group unless it exists.
 func (c *Registry) ensure(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/carrier/doc.go
+++ b/carrier/doc.go
@@ -22,7 +22,7 @@
 // # Usage
 //
 //	c := &carrier.Registry{Dial: dial, Now: now, Log: log}
-//	c.Apply(upstreams)
+//	c.SetUpstreams(upstreams)
 //	group, ok := c.Group("billet-db")
-//	reply := group.Run(&carrier.Job{Freshness: cataloger.BoundedStaleness, MaxAge: age, Arrived: now(), Deadline: deadline}, command)
+//	answer := group.Run(&carrier.Job{Freshness: cataloger.BoundedStaleness, MaxStaleness: age, Arrived: now(), Deadline: deadline}, command)
 package carrier
--- a/carrier/drain.go
+++ b/carrier/drain.go
@@ -19,17 +19,18 @@
 // A leaving leader is used until another upstream leads. That may never happen: its last
 // replica is unreachable, or lacks what only the leader has. Callers then had their
 // statements accepted by an upstream that was about to stop, up to 10 s after it had
-// announced it. After the deadline they are refused instead and told to retry.
+// announced it. After drainBy they are refused instead, with a delay after which to
+// retry.
 func (g *Group) setDrainTime(u *upstream, left time.Duration) {
-	u.endsAt, u.drainEndReported = time.Time{}, false
+	u.drainBy, u.drainEndReported = time.Time{}, false
 	if u.entry.Leaving && left > 0 {
-		u.endsAt = g.registry.Now().Add(left - drainMargin)
+		u.drainBy = g.registry.Now().Add(left - drainMargin)
 	}
 }
 
 // drained reports whether the upstream gets no more work. The caller must hold the
 // group's lock.
-func (u *upstream) drained(now time.Time) bool { return !u.endsAt.IsZero() && !now.Before(u.endsAt) }
+func (u *upstream) drained(now time.Time) bool { return !u.drainBy.IsZero() && !now.Before(u.drainBy) }
 
 func (g *Group) hasDrainEnded(u *upstream) bool {
 	g.mu.Lock()
--- a/carrier/drain_test.go
+++ b/carrier/drain_test.go
@@ -57,8 +57,9 @@
 	})
 }
 
-// Guards against the same fault in a process that starts while the leader is leaving: such
-// a process must not count the full time from when it first saw the leader.
+// Guards against sending requests to a leaving leader beyond its time, in a process that
+// starts while the leader is leaving: such a process must not count the full time from when
+// it first saw the leader.
 func TestUpstreamFirstSeenLeavingGetsHalfTheTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -74,7 +75,7 @@
 	is.True(!g.hasDrainEnded(g.upstreams[0]))
 }
 
-// Guards against the same fault for a statement that waits for a connection to the leader
+// Guards against sending a leaving leader a statement that waits for a connection to it
 // while the leader's time ends: checking the time only when an upstream is chosen is not
 // enough.
 func TestQueuedStatementIsNotSentAfterDrainTime(t *testing.T) {
@@ -83,7 +84,7 @@
 		g, _ := newLeavingGroup(newLaggingGroup())
 		u := g.upstreams[0]
 		j := &Job{Writes: true, Arrived: time.Now(), Deadline: time.Now().Add(time.Second)}
-		u.endsAt = time.Now()
+		u.drainBy = time.Now()
 		r, refused := g.acquireConn(u, j)
 		is.True(r == nil)
 		is.Equal(refused.Code, Busy) // it has not run
@@ -107,16 +108,17 @@
 			return &Job{Freshness: cataloger.BoundedStaleness, MaxStaleness: time.Second, Arrived: now, Deadline: now.Add(time.Second)}
 		}
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Upstream, "b")
-		g.upstreams[1].endsAt = now
+		g.upstreams[1].drainBy = now
 		is.Equal(g.Run(job(), Command{Verb: Read, ID: "r"}).Code, Busy)
 		g.registry.Stop()
 		time.Sleep(time.Second)
 	})
 }
 
-// Guards against sending requests to a leaving leader beyond its time after only the store
-// had lost it. It counts as leaving while its entry is missing. The entry that comes back
-// says that it is leaving, which must count as a change.
+// Guards against sending requests to a leaving leader beyond its time after its entry in
+// the store had lapsed while it still answered. It counts as leaving while its entry is
+// missing. The entry that comes back states that it is leaving, which must count as a
+// change.
 func TestUpstreamListedAgainAsLeavingGetsDrainTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -128,8 +130,8 @@
 	u.answeredAt = now
 	c.SetUpstreams(all[1:])
 	is.True(u.entry.Leaving)
-	is.True(u.endsAt.IsZero())
+	is.True(u.drainBy.IsZero())
 	all[0].Leaving = true
 	c.SetUpstreams(all)
-	is.Equal(u.endsAt, now.Add(leaveTimeout-drainMargin))
+	is.Equal(u.drainBy, now.Add(leaveTimeout-drainMargin))
 }
--- a/carrier/failure_rate.go
+++ b/carrier/failure_rate.go
@@ -4,9 +4,9 @@
 
 // Parameters of the failure rate of an upstream.
 const (
-	// failureRateSmoothing is the weight of a new outcome in the failure rate, as 1/n. A
-	// process of a large fleet gets about ten outcomes a second from a leader: with n = 8
-	// the rate follows within a second.
+	// failureRateSmoothing is the n of 1/n, the weight of a new outcome in the failure
+	// rate. A process of a large fleet gets about ten outcomes a second from a leader: with
+	// n = 8 the rate follows within a second.
 	failureRateSmoothing = 8
 	// maxFailureRate is the rate above which an upstream counts as failing. Three failures
 	// in a row exceed it; an upstream that loses a tenth of its answers hardly ever does,
--- a/carrier/group.go
+++ b/carrier/group.go
@@ -84,8 +84,8 @@
 
 // update returns the upstream of an entry. It creates a new one when the upstream is not
 // known or has restarted, because nothing learned before a restart still holds, neither the
-// position of its log nor what is prepared on its connections. What the store says about
-// the leader is applied only where it has changed.
+// position of its log nor what is prepared on its connections. What the store's entry
+// states about the leader is applied only where it has changed.
 func (g *Group) update(listed cataloger.Upstream) *upstream {
 	for _, u := range g.upstreams {
 		if u.id != listed.ID {
@@ -148,6 +148,8 @@
 	go g.checkLeader(u)
 }
 
+// drop stops the pool of an upstream that is no longer listed and records it as absent. The
+// caller must hold g.mu.
 func (g *Group) drop(u *upstream) {
 	u.removed = true
 	go u.pool.Stop()
@@ -188,6 +190,8 @@
 
 func (g *Group) log() *zap.Logger { return g.registry.Log }
 
+// applyShare applies this process's share of the connections to each upstream's pool and
+// gate.
 func (g *Group) applyShare() {
 	share := g.registry.share(g.name)
 	g.mu.Lock()
@@ -276,8 +280,9 @@
 	g.searchLeader()
 }
 
-// choose picks an upstream for a job, or returns the reason why there is none. If no leader
-// is known it starts a search for it.
+// choose picks an upstream for a job and returns the reason for the choice. If there is
+// none, it returns a channel that is closed when the leader or an upstream changes; if that
+// is because no leader is known, it starts a search for it.
 func (g *Group) choose(need placer.Need, workspace string, tried map[*upstream]bool) (*upstream, placer.Reason, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -365,7 +370,8 @@
 	u.pool.Put(c)
 }
 
-// recordWrite records that an upstream acknowledged a write or the commit of one.
+// recordWrite records that an upstream answered a write or the commit of one, whatever the
+// outcome.
 func (g *Group) recordWrite(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/carrier/health.go
+++ b/carrier/health.go
@@ -42,7 +42,9 @@
 	leaderSearchInterval = 50 * time.Millisecond
 )
 
-// tick ejects upstreams that have stopped answering and probes those that are ejected.
+// tick ejects upstreams that have stopped answering and probes those that are ejected. It
+// also closes connections that are not needed, drops upstreams that have been unlisted for
+// too long, and searches for the leader while none answers.
 func (g *Group) tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,7 +82,7 @@
 // needsTicks reports whether something on the upstream has to be checked although this
 // process has no share of its connections. The caller must hold the group's lock.
 func (u *upstream) needsTicks() bool {
-	return !u.unlistedSince.IsZero() || u.probing || len(u.running) > 0 || !u.endsAt.IsZero() && !u.drainEndReported || u.pool.Stats().Open > 0
+	return !u.unlistedSince.IsZero() || u.probing || len(u.running) > 0 || !u.drainBy.IsZero() && !u.drainEndReported || u.pool.Stats().Open > 0
 }
 
 // keptConns returns how many connections to an upstream stay open without being needed:
@@ -148,7 +150,8 @@
 // errNoShare is returned to those that request a connection while this process has no share
 // of them. A starting process takes one connection of each upstream until it knows its
 // peers, and often has no share from then on. A statement that had requested a connection
-// before that waited there for its whole second, while peers that are gateways had room.
+// before the share was lost waited there for its whole second, while peers that are
+// gateways had room.
 var errNoShare = errors.New("carrier: no share of the upstream's connections")
 
 // errEjected is returned to those that wait for a connection to an upstream that is
@@ -249,12 +252,12 @@
 	}()
 }
 
-// searchLeader asks the upstreams that answer whether they lead, each unless a check is
-// already running. An upstream that leads accepts an empty transaction, all others refuse
-// it; it takes no slot. Ejected upstreams have probes of their own. No upstream waits for
-// the answer of another: an overloaded former leader has no connection free for half a
-// second, and when rounds waited for all answers, processes learned of the next leader that
-// much later than the first one did. The caller must hold g.mu.
+// searchLeader asks the upstreams that are not ejected whether they lead, except those of
+// which a check is already running. An upstream that leads accepts an empty transaction,
+// all others refuse it; it takes no slot. Ejected upstreams have probes of their own. No
+// upstream waits for the answer of another: an overloaded former leader has no connection
+// free for half a second, and when rounds waited for all answers, processes learned of the
+// next leader that much later than the first one did. The caller must hold g.mu.
 func (g *Group) searchLeader() {
 	now := g.registry.Now()
 	if !g.IsGateway() || now.Sub(g.searchedAt) < leaderSearchInterval {
@@ -304,8 +307,9 @@
 
 // VerifyLeader asks the leader whether it leads. If it does not confirm that and a new
 // connection to it fails too, it is ejected. This process's view of a leader that it has
-// not used lately may be out of date: the lease holder then retries a planned change of a
-// leader that has crashed, again and again, while its peers wait for another one.
+// not used lately may be out of date: without this check the lease holder would retry the
+// planned change of a leader that has crashed, again and again, while its peers wait for
+// another one.
 func (g *Group) VerifyLeader() {
 	u := g.reachableLeader()
 	if u == nil || g.checkLeader(u) {
@@ -317,7 +321,8 @@
 }
 
 // refreshSample takes a new sample of the leader's log, and returns a channel that is
-// closed when that has ended. Only one runs at a time. The caller must hold g.mu.
+// closed when that has ended; nil when there is neither a leader that answers nor a peer to
+// request one from. Only one runs at a time. The caller must hold g.mu.
 func (g *Group) refreshSample() <-chan struct{} {
 	if g.sampling != nil {
 		return g.sampling
@@ -342,8 +347,8 @@
 	return done
 }
 
-// samplePeer takes a sample through a peer that reaches the leader. The sample's time is
-// that before the request.
+// samplePeer takes a sample through a peer that reaches the leader. The sample counts from
+// the time just before the request.
 func (g *Group) samplePeer() {
 	requestedAt := g.registry.Now()
 	mark, ok := g.registry.RequestSample(g.name)
--- a/carrier/job.go
+++ b/carrier/job.go
@@ -13,20 +13,20 @@
 
 // Bounds of running one statement.
 const (
-	// maxAttempts bounds how often a read is sent: once to each upstream of a group of
-	// three, and once more to the best one.
+	// maxAttempts bounds how often a statement is sent or a transaction is begun: once to
+	// each upstream of a group of three, and once more to the best one.
 	maxAttempts = 4
 	// busyRetryDelay is how long a statement waits before it is sent again to the only
-	// upstream that may run it, after that has refused it as busy: about the time in which
-	// one of five slots becomes free.
+	// upstream that may run it, when that upstream was busy: about the time in which one of
+	// five slots becomes free.
 	busyRetryDelay = 8 * time.Millisecond
 	// failurePenalty is the latency that counts for a failed or lost answer, as a multiple
 	// of the default latency. Given the smoothing of the mean, an upstream that fails four
 	// statements of ten then costs three times as much as the others.
 	failurePenalty = 6
 	// connLimitRetryDelay is how long a statement waits before it tries again to get a
-	// connection to the only upstream that may run it, after that was at its connection
-	// limit.
+	// connection to the only upstream that may run it, when that upstream was at its
+	// connection limit.
 	connLimitRetryDelay = 120 * time.Millisecond
 	// clockErrorMargin is subtracted from the maximum age of a sample for the error of the
 	// clock.
@@ -34,7 +34,7 @@
 	// resampleDivisor sets when a new sample is requested while the old one still serves:
 	// after the route's maximum age divided by it.
 	resampleDivisor = 3
-	// retryAfter is the delay that a refusal tells callers to wait before they retry.
+	// retryAfter is how long a refusal asks callers to wait before they retry.
 	retryAfter = time.Second
 )
 
@@ -56,7 +56,7 @@
 	// ObjectiveAt is when the operation should have been answered, by the Registry's clock;
 	// zero where there is no objective.
 	ObjectiveAt time.Time
-	// Deadline is when the time of the statement is up.
+	// Deadline is when the time of the statement is up, by the clock of time.Now.
 	Deadline time.Time
 	// Values are the session's values.
 	Values []Value
@@ -86,7 +86,7 @@
 func refusal(code Code, text string) Answer { return Answer{Code: code, Text: text} }
 
 // exchange runs commands on a connection and records what the answers show about the
-// upstream.
+// upstream. It reports whether any byte may have reached the upstream.
 func (g *Group) exchange(u *upstream, r *run, deadline time.Time, commands ...Command) ([]Answer, bool, error) {
 	g.mu.Lock()
 	r.exchangeStartedAt = g.registry.Now()
@@ -108,7 +108,7 @@
 	return answers, sent, nil
 }
 
-// acquireConn gets a connection to an upstream for a job.
+// acquireConn gets a connection to an upstream for a job, or returns a refusal and no run.
 func (g *Group) acquireConn(u *upstream, j *Job) (*run, Answer) {
 	c, err := u.getConnFor(j.Workspace, j.Deadline)
 	if err == nil && g.hasDrainEnded(u) {
@@ -217,7 +217,8 @@
 	return answer, true
 }
 
-// lostAnswer returns the answer to a statement whose connection broke.
+// lostAnswer returns the answer to a statement whose connection broke, and whether the
+// statement may be sent again.
 func lostAnswer(j *Job, sent bool) (Answer, bool) {
 	switch {
 	case !sent:
@@ -231,10 +232,11 @@
 	}
 }
 
-// send runs the exchanges of one attempt. A read that must see every commit is wrapped in a
-// transaction that only the leader accepts: a former leader refuses its begin. The read is
-// sent only after the begin was accepted. Sent together with a refused begin, it would run
-// outside of a transaction, on a log that may lack the newest commits.
+// send runs the exchanges of one attempt. It reports whether any byte of the last one may
+// have reached the upstream. A read that must see every commit is wrapped in a transaction
+// that only the leader accepts: a former leader refuses its begin. The read is sent only
+// after the begin was accepted. Sent together with a refused begin, it would run outside of
+// a transaction, on a log that may lack the newest commits.
 func (g *Group) send(u *upstream, r *run, j *Job, cmd Command, since tracker.Mark) (Answer, bool, error) {
 	setup := r.conn.setupCommands(j.Values, j.Prepared)
 	if j.Writes {
@@ -261,6 +263,7 @@
 	return lastAnswer(answers, len(setup)), true, nil
 }
 
+// sendLeaderRead runs a read that must see every commit, as described at send.
 func (g *Group) sendLeaderRead(u *upstream, r *run, j *Job, cmd Command, setup []Command) (Answer, bool, error) {
 	requestedAt := g.registry.Now()
 	answers, sent, err := g.exchange(u, r, j.Deadline, append(setup, Command{Verb: Begin})...)
@@ -292,8 +295,8 @@
 	return answers[len(answers)-1]
 }
 
-// shouldRetry applies a refusal by an upstream and reports whether the job should be sent
-// again.
+// shouldRetry records what an answer other than OK shows about the upstream, waits where
+// that may help, and reports whether the job should be sent again.
 func (g *Group) shouldRetry(u *upstream, j *Job, a Answer) bool {
 	switch a.Code {
 	case Lagging:
--- a/carrier/lag_test.go
+++ b/carrier/lag_test.go
@@ -9,8 +9,8 @@
 
 // Guards against an upstream that spends a fifth of its load on refusing reads for lag, so
 // that these are late. A replica receives nothing, or applies a second late, for some
-// seconds, while reads that may be 1.5 s old keep arriving. When a refusal was forgotten
-// after 60 ms, each read tried each replica anew.
+// seconds, while reads that may be 1.5 s old keep arriving. When a refusal counted for only
+// 60 ms, each read tried each replica anew.
 func TestReadsAvoidLaggingReplica(t *testing.T) {
 	is := is.New(t)
 	const negligible = 100 * time.Millisecond
--- a/carrier/observe.go
+++ b/carrier/observe.go
@@ -41,8 +41,8 @@
 	// Leader is the upstream that leads or led last; LeaderAnswers is true if it answers.
 	Leader        string
 	LeaderAnswers bool
-	// Isolated is true if no other upstream can be reached either, so that the next leader
-	// could not be reached.
+	// Isolated is true if neither the leader nor any upstream that could lead next can be
+	// reached.
 	Isolated bool
 	// CommitStalled is true if the leader does not acknowledge writes.
 	CommitStalled bool
@@ -84,7 +84,7 @@
 }
 
 // isCommitStalled reports whether an upstream has left a write unanswered for too long and
-// has acknowledged none since that one was sent. The caller must hold g.mu.
+// has answered none since that one was sent. The caller must hold g.mu.
 func (g *Group) isCommitStalled(u *upstream, now time.Time) bool {
 	if !u.writeTimedOutAt.IsZero() && u.wroteAt.Before(u.writeTimedOutAt) && now.Sub(u.writeTimedOutAt) < commitStallHold {
 		return true
--- a/carrier/opener.go
+++ b/carrier/opener.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// tryStart reports whether one connection may be opened now. If the upstream is blocked, it
-// schedules a wake-up.
+// tryStart counts one wanted connection as in progress if it may be opened now, and reports
+// whether it did. If the upstream is blocked, it schedules a wake-up.
 func (o *opener) tryStart() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/carrier/opener_test.go
+++ b/carrier/opener_test.go
@@ -74,8 +74,8 @@
 }
 
 // Guards against a state in which no connection is ever opened again: those that waited for
-// one have got another meanwhile, so that the permits are not used. Unused permits must not
-// count as openings in progress.
+// a connection have been given another one meanwhile, so that the permits are not used.
+// Unused permits must not count as openings in progress.
 func TestUnusedPermitsAreReleased(t *testing.T) {
 	is := is.New(t)
 	p := newPacedUpstream()
--- a/carrier/place.go
+++ b/carrier/place.go
@@ -46,7 +46,7 @@
 }
 
 // requiredMark returns the mark that a read needs. When no sample is fresh enough, it
-// returns a channel that signals a newer one.
+// returns a channel that is closed when there may be a newer one.
 func (g *Group) requiredMark(j *Job) (tracker.Mark, <-chan struct{}, bool) {
 	if j.RequiresLeader() {
 		return tracker.Mark{}, nil, true
@@ -73,7 +73,8 @@
 	return mark, nil, true
 }
 
-// waitForChange waits for a change, and reports whether there is time left after it.
+// waitForChange waits for a change. It reports false if the time is over, or the caller
+// gone, before it.
 func waitForChange(j *Job, changed <-chan struct{}) bool {
 	left := time.Until(j.Deadline)
 	if left <= 0 {
@@ -91,7 +92,8 @@
 	}
 }
 
-// pause waits for a duration, and reports whether there is time left after it.
+// pause waits for a duration. It reports false if the time is over, or the caller gone,
+// before its end.
 func pause(j *Job, d time.Duration) bool {
 	passed := make(chan struct{})
 	timer := time.AfterFunc(d, func() { close(passed) })
@@ -114,6 +116,7 @@
 	return g.isLeaderUnlikely(now) || g.wouldStallLocked(j, now)
 }
 
+// refuse logs that a job cannot be placed and returns the refusal.
 func (g *Group) refuse(j *Job, reason placer.Reason) Answer {
 	g.log().Info("carrier: statement refused", zap.String("request", j.Request), zap.String("group", g.name),
 		zap.String("reason", string(reason)), zap.Bool("latest", j.RequiresLeader()))
--- a/carrier/runner.go
+++ b/carrier/runner.go
@@ -2,8 +2,8 @@
 
 import "basildale.example/basildale/tracker"
 
-// Runner runs the statements of one group. A Group implements it, and so does a type that
-// has them run by another process.
+// Runner runs the statements of one group. A Group implements it, and so does a type of
+// package forwarder that may have them run by another process.
 type Runner interface {
 	// Run runs one statement outside of a transaction.
 	Run(j *Job, cmd Command) Answer
@@ -16,8 +16,11 @@
 
 // Transaction is an open transaction. It must be used by one goroutine.
 type Transaction interface {
+	// Do runs a statement inside the transaction.
 	Do(j *Job, cmd Command) Answer
+	// Commit commits the transaction.
 	Commit(j *Job, cmd Command) Answer
+	// Rollback ends the transaction and discards what it wrote.
 	Rollback()
 }
 
--- a/carrier/samples.go
+++ b/carrier/samples.go
@@ -56,8 +56,9 @@
 	interval time.Duration // minimum time between two; minSampleInterval if that is more
 }
 
-// add adds a proven position. One that was requested before the newest or right after it is
-// dropped, unless it is of a later term.
+// add adds a proven position. It is dropped if it was requested before the newest or is of
+// an earlier term, and within a term also if it was requested less than the interval after
+// the newest.
 func (s *samples) add(requestedAt time.Time, mark tracker.Mark) {
 	if n := len(s.ring); n > 0 {
 		newest := s.ring[n-1]
@@ -76,8 +77,8 @@
 }
 
 // oldestSince returns the oldest position that was requested at or after the given time.
-// The oldest is the one that most replicas have reached: replicas that apply 1 s late can
-// still serve reads that may be 1.5 s old.
+// The oldest is the one that most replicas have reached: replicas that lag by 1 s can still
+// serve reads that may be 1.5 s old.
 func (s *samples) oldestSince(oldest time.Time) (tracker.Mark, bool) {
 	for _, e := range s.ring {
 		if !e.requestedAt.Before(oldest) {
--- a/carrier/tx.go
+++ b/carrier/tx.go
@@ -121,6 +121,7 @@
 	}
 }
 
+// runOnce sends a statement of the transaction once.
 func (t *Tx) runOnce(j *Job, cmd Command) Answer {
 	setup := t.run.conn.setupCommands(j.Values, j.Prepared)
 	started := t.group.registry.Now()
--- a/carrier/upstream.go
+++ b/carrier/upstream.go
@@ -35,18 +35,18 @@
 	entry  cataloger.Upstream
 
 	running          map[*run]struct{}
-	answeredAt       time.Time // when it last answered anything
-	wroteAt          time.Time // when it last acknowledged a write
-	writeTimedOutAt  time.Time // when a write there last timed out with none acknowledged since it was sent
-	latency          time.Duration
-	latencyUpdatedAt time.Time // when latency last changed
+	answeredAt       time.Time     // when it last answered anything
+	wroteAt          time.Time     // when it last answered a write
+	writeTimedOutAt  time.Time     // when a write there last timed out with none answered since it was sent
+	latency          time.Duration // moving mean of the latency of its answers
+	latencyUpdatedAt time.Time     // when latency last changed
 	lag              lag
 	rejectedAt       time.Time // when its gate last rejected a statement
 	failures         failureRate
-	mark             tracker.Mark
-	endsAt           time.Time // when it gets no more new work; zero while that is not known
-	drainEndReported bool      // the end of new work was logged
-	unlistedSince    time.Time // since when the store does not list it, though it answers
+	mark             tracker.Mark // furthest position of its log that it has stated
+	drainBy          time.Time    // when it gets no more new work; zero while that is not known
+	drainEndReported bool         // the end of new work was logged
+	unlistedSince    time.Time    // since when the store does not list it, though it answers
 	// restartedAt is when it was found to have restarted, and minReceived the position that
 	// the log of a new leader must reach because of that.
 	restartedAt time.Time
@@ -95,7 +95,7 @@
 // connectDelay returns the cost of opening a connection for a workspace when an upstream is
 // chosen for a read. The leader usually has an open connection for the work that only it
 // may do. Reads that used it would take the leader's slots from such work, so for reads the
-// leader counts as having none.
+// leader counts as having no open connection.
 func (u *upstream) connectDelay(workspace string, leads, home bool) time.Duration {
 	switch {
 	case workspace == "", !leads && u.pool.HasIdle(workspace):
@@ -121,7 +121,7 @@
 	return defaultLatency + excess>>min(uint(halfLives), 16)
 }
 
-// recordLatency adds the latency of an answer, scaled to that of an ordinary read.
+// recordLatency adds the latency of an answer to the moving mean.
 func (u *upstream) recordLatency(now time.Time, took time.Duration) {
 	before := u.expectedLatency(now)
 	u.latency = before + time.Duration(latencySmoothing*float64(took-before))
--- a/conductor/identity.go
+++ b/conductor/identity.go
@@ -23,7 +23,7 @@
 	}
 	workspace, ok := view.Authorize(&route, s.Key)
 	if !ok {
-		s.logUnknown(view.Config.Version)
+		s.logUnknownKey(view.Config.Version)
 		return scope{}, replyFrom(forbiddenAnswer())
 	}
 	return scope{route, workspace}, Reply{}
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (s *Session) logUnknown(version uint64) {
+func (s *Session) logUnknownKey(version uint64) {
 	s.Log.Info("conductor: key unknown", zap.Stringer("key", s.Key), zap.String("database", s.Database), zap.Uint64("configuration", version))
 }
 
--- a/conductor/session.go
+++ b/conductor/session.go
@@ -18,8 +18,8 @@
 	// kilobytes each.
 	maxValues   = 64
 	maxPrepared = 256
-	// idleTimeoutSlack is added to the idle timeout of a transaction, so that a caller right
-	// at the bound is not cut off.
+	// idleTimeoutSlack is added to the idle timeout of a transaction, so that a caller right at
+	// the bound does not lose the transaction.
 	idleTimeoutSlack = 200 * time.Millisecond
 	// defaultIdleTimeout applies when the configuration sets no idle timeout.
 	defaultIdleTimeout = 10 * time.Second
@@ -46,12 +46,12 @@
 	mu       sync.Mutex // held while a statement runs
 	values   []carrier.Value
 	prepared map[string]carrier.Prepared
-	mark     tracker.Mark
+	mark     tracker.Mark // furthest position of the session's own writes
 
 	state            carrier.State
 	readOnly         bool
-	scope            scope // of the open transaction
-	began            time.Time
+	scope            scope     // of the open transaction
+	began            time.Time // when the BEGIN of the open transaction arrived
 	tx               carrier.Transaction
 	pendingRollbacks []carrier.Transaction // rolled back once the caller has its answer
 	idleTimer        *time.Timer
@@ -187,8 +187,8 @@
 	return okReply()
 }
 
-// command returns the command for the upstream, the prepared statement that it uses, whether
-// it may change data, and whether that statement exists.
+// command returns the command for the upstream, the prepared statement that it uses, whether it
+// may change data, and whether that prepared statement exists.
 func (s *Session) command(st Statement) (carrier.Command, *carrier.Prepared, bool, bool) {
 	cmd := carrier.Command{ID: st.ID, Text: st.Text}
 	switch st.Verb {
@@ -354,6 +354,8 @@
 	s.state = carrier.Idle
 }
 
+// detachTransaction leaves the rollback of the transaction to RollbackEnded, if it is open at an
+// upstream.
 func (s *Session) detachTransaction() {
 	if s.tx != nil {
 		s.pendingRollbacks = append(s.pendingRollbacks, s.tx)
@@ -380,8 +382,8 @@
 	return Reply{Rows: a.Rows, Signature: a.Signature, Code: a.Code, Text: a.Text, Mark: a.Mark}
 }
 
-// mayWrite reports whether a statement may change data: a write, or the commit of a
-// transaction that is not read-only.
+// mayWrite reports whether a statement may change data: a write, the execution of a prepared
+// statement that writes, or the commit of a transaction that is not read-only.
 func (s *Session) mayWrite(st Statement) bool {
 	switch st.Verb {
 	case Write:
--- a/conductor/statement.go
+++ b/conductor/statement.go
@@ -34,7 +34,7 @@
 	Name string
 	// Value is the value of Set, the shape of Prepare, the arguments of Execute.
 	Value string
-	// Writes says, for Prepare, that the statement changes data.
+	// Writes is true, for Prepare, if the statement changes data.
 	Writes bool
 }
 
--- a/forwarder/affinity_test.go
+++ b/forwarder/affinity_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against a workspace whose statements fail while its proxy is away: the next proxy
-// in its order runs them, and always the same one.
+// Guards against a workspace whose statements fail while its proxy is away: the proxy with
+// the next highest affinity runs them, and always the same one.
 func TestNextInOrderReplacesLostGateway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("a", "b", "c")
--- a/forwarder/doc.go
+++ b/forwarder/doc.go
@@ -2,15 +2,16 @@
 // itself: it does not reach a group's leader, or has no share of the group's
 // connections.
 //
-// The decision is made for each statement, and for each transaction as a whole. The
-// statement goes to this process where it can run it, else to a peer that reports no
-// fault of the leader, preferably of the same availability zone. A peer never forwards
-// further. While no process reaches a leader, the statement waits here as it would
-// without peers.
+// The decision is made for each statement, and for each transaction as a whole. A
+// statement runs in this process where it can, else at a peer that reports no fault of the
+// leader, preferably of the same availability zone. Of the processes that can run a
+// statement of a workspace, the gateway with the highest affinity is preferred, so that
+// the workspace's statements share its connections. A peer never forwards further. While
+// no process reaches a leader, the statement waits here as it would without peers.
 //
 // A failure on the way to a peer is treated as one on the way to an upstream: a read is
 // sent again, a write or commit that was sent is in doubt, and a transaction whose commit
-// was not sent is rolled back by the peer once its caller is silent.
+// was not sent is rolled back by the peer once it has been idle for too long.
 //
 // # Usage
 //
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -19,13 +19,14 @@
 
 // Bounds of forwarding.
 const (
-	// skipDuration is how long a peer that did not answer is skipped, unless a datagram of
-	// it is received before.
+	// skipDuration is how long a peer that did not answer is skipped, unless a datagram
+	// from it is received before.
 	skipDuration = 5 * time.Second
 	// maxOffers is the maximum number of peers that a statement is offered to.
 	maxOffers = 3
 	// sampleTimeout bounds the request for a position sample: one trip to a peer, and from
-	// there to the leader.
+	// there to the leader. It also bounds the request to roll back a transaction at a
+	// peer.
 	sampleTimeout = 200 * time.Millisecond
 	// deadlineSlack is how late a peer's answer may be after the statement's deadline.
 	deadlineSlack = 50 * time.Millisecond
@@ -36,7 +37,7 @@
 	maxRecheckDelay = 200 * time.Millisecond
 )
 
-// Forwarder decides which process runs statements, and sends them to peers. Set the
+// Forwarder decides which process runs statements, and forwards them to peers. Set the
 // exported fields before the first use.
 type Forwarder struct {
 	// Local returns a group of this process.
@@ -100,25 +101,25 @@
 }
 
 // choosePeer returns a gateway of a group that reaches its leader: one of the same
-// availability zone if there is any, or the first in the order of the statement's
-// workspace. Where the leader is not needed, a gateway that does not reach it will do
-// when there is no other: while a leader is replaced no gateway reaches it, and their
+// availability zone if there is any, or, for a statement of a workspace, the one with the
+// highest affinity. Where the leader is not needed, a gateway that does not reach it will
+// do when there is no other: while a leader is replaced no gateway reaches it, and their
 // position samples stay young enough for some seconds.
 func (f *Forwarder) choosePeer(c criteria) (Candidate, bool) {
 	var best []Candidate
-	rank := 0
+	bestRank := 0
 	now := f.Now()
 	for _, p := range f.Gateways(c.group) {
 		if !p.Address.IsValid() || c.tried[p.Address] || f.isSkipped(p, now) {
 			continue
 		}
 		reaches := f.leaderFault(c.group, p, now).IsLeaderReachable()
-		own := f.rank(p, reaches)
+		peerRank := f.rank(p, reaches)
 		switch {
-		case c.needsLeader && !reaches, own < rank && c.workspace == "":
+		case c.needsLeader && !reaches, peerRank < bestRank && c.workspace == "":
 		case c.workspace != "" && len(best) > 0 && !f.precedes(c, p, best[0], now):
-		case c.workspace != "" || own > rank:
-			best, rank = []Candidate{p}, own
+		case c.workspace != "" || peerRank > bestRank:
+			best, bestRank = []Candidate{p}, peerRank
 		default:
 			best = append(best, p)
 		}
@@ -144,7 +145,7 @@
 
 // HasLiveGateway reports whether a live peer is a gateway of a group, whatever fault of
 // the leader it reports: while the leader is replaced all gateways report one, and a
-// process that considered itself cut off would go to the upstreams directly.
+// process that considered itself isolated would go to the upstreams directly.
 func (f *Forwarder) HasLiveGateway(group string) bool {
 	now := f.Now()
 	for _, p := range f.Gateways(group) {
@@ -156,10 +157,10 @@
 }
 
 // AreGatewaysIsolated reports whether every gateway of a group, as far as is known, is
-// cut off from whichever upstream leads next. Waiting for them is useless then: the caller
-// does better to go to a process on the other side of the partition. If some gateways
-// have not reported lately, at least maxOffers others have to report that they are
-// isolated.
+// isolated from whichever upstream leads next. Waiting for them is useless then: the
+// caller does better to go to a process on the other side of the partition. If some
+// gateways have not reported lately, at least maxOffers others have to report that they
+// are isolated.
 func (f *Forwarder) AreGatewaysIsolated(group string) bool {
 	isolated, unknown := 0, 0
 	now := f.Now()
@@ -177,7 +178,7 @@
 	return isolated > 0 && (unknown == 0 || isolated >= maxOffers)
 }
 
-// isSkipped reports whether a peer did not answer lately and no datagram of it was
+// isSkipped reports whether a peer did not answer lately and no datagram from it was
 // received since.
 func (f *Forwarder) isSkipped(p Candidate, now time.Time) bool {
 	f.mu.Lock()
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -106,9 +106,9 @@
 	is.Equal(f.run(false).Code, carrier.OK) // a read may be sent again
 }
 
-// Guards against statements that lose half a second each on a peer that is cut off,
+// Guards against statements that lose half a second each on a peer that is partitioned,
 // because it is skipped for a fixed time only and tried again each second, whether a
-// datagram of it was received or not.
+// datagram from it was received or not.
 func TestLostPeerIsSkippedUntilReceived(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("away", "home")
@@ -140,9 +140,9 @@
 	is.True(!f.HasLiveGateway("g"))
 }
 
-// Guards against statements that are refused a second after they arrived, after a loss of
-// power everywhere, though others are served: the three peers that are tried have just
-// started and refuse, and a moment later they would serve.
+// Guards against statements that are refused a second after they arrived, after a power
+// failure of the whole fleet, though others are served: the three peers that are tried
+// have just started and refuse, and a moment later they would serve.
 func TestRefusingPeersAreRetried(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "home", "home")
@@ -181,7 +181,7 @@
 }
 
 // Guards against callers that wait out their statement's time at a process without
-// connections: a partition leaves it with gateways that are all cut off from whichever
+// connections: a partition leaves it with gateways that are all isolated from whichever
 // upstream leads next, and it offers them the statement again and again.
 func TestIsolatedGatewaysAreNotAwaited(t *testing.T) {
 	is := is.New(t)
@@ -202,8 +202,8 @@
 
 // Guards against a process that offers each statement to three gateways again and again
 // while a leader is replaced. A process that is not a gateway of the group receives the
-// gateways' states by chance only, so it has to use the fault reported with the last
-// answer.
+// faults that gateways gossip by chance only, so it has to use the fault reported with the
+// last answer.
 func TestFaultReportedWithAnswerIsUsed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("home", "away")
@@ -228,7 +228,7 @@
 }
 
 // Guards against callers that are refused though others would serve them: two of four
-// gateways report that they are cut off from the next leader, and from the others nothing
+// gateways report that they are isolated from the next leader, and from the others nothing
 // was received. Unknown gateways must not count as isolated.
 func TestUnknownGatewaysAreNotIsolated(t *testing.T) {
 	is := is.New(t)
--- a/forwarder/message.go
+++ b/forwarder/message.go
@@ -50,7 +50,7 @@
 // response is the answer to a request.
 type response struct {
 	Answer carrier.Answer `json:"answer"`
-	// Refused says that nothing was tried: the peer cannot run statements of the group now.
+	// Refused means that nothing was tried: the peer cannot run statements of the group now.
 	Refused bool `json:"refused,omitempty"`
 	// LeaderFault is the fault of the group's leader as the peer sees it.
 	LeaderFault gossiper.LeaderFault `json:"trouble,omitempty"`
--- a/forwarder/path.go
+++ b/forwarder/path.go
@@ -22,9 +22,10 @@
 	runner *groupRunner
 	job    *carrier.Job
 	tried  map[netip.AddrPort]bool
-	delay  time.Duration // before the peers are offered it again
+	delay  time.Duration // before the next recheck of this process and the peers
 }
 
+// newSearch returns the search for a process that runs a job, and sets the job's CanForward.
 func (g *groupRunner) newSearch(j *carrier.Job) *search {
 	s := &search{runner: g, job: j}
 	j.CanForward = func() bool {
@@ -75,7 +76,7 @@
 	case <-s.job.CallerGone:
 		return false
 	case <-time.After(s.delay):
-		clear(s.tried) // a lost peer stays skipped until it is received again
+		clear(s.tried) // a lost peer stays skipped until a datagram from it is received
 		return true
 	}
 }
--- a/forwarder/server.go
+++ b/forwarder/server.go
@@ -12,7 +12,7 @@
 )
 
 // idleTimeout is how long a transaction that is held for a peer may be idle. A caller may
-// leave it idle for 3 s; its proxy ends it then, unless it has died.
+// leave it idle for 3 s; the proxy of the caller ends it then, unless that proxy has died.
 const idleTimeout = 4 * time.Second
 
 // transactionKey identifies a transaction that is held for a peer.
@@ -41,8 +41,8 @@
 	return len(f.transactions.open)
 }
 
-// Serve runs what a peer requests. The peer's name tells peers, and restarts of a peer,
-// apart.
+// Serve runs what a peer requests. The peer's name distinguishes peers, and incarnations
+// of one peer.
 func (f *Forwarder) Serve(peer string, payload json.RawMessage) (json.RawMessage, error) {
 	var r request
 	if err := json.Unmarshal(payload, &r); err != nil {
--- a/placer/choose.go
+++ b/placer/choose.go
@@ -13,8 +13,9 @@
 const (
 	// inFlightWeight is what each statement that this proxy already has at a candidate adds
 	// to the cost, as a part of its expected latency. Other proxies use the same few slots
-	// of an upstream, so each of this proxy's statements stands for several. Half of what
-	// those add keeps a single proxy's burst from moving all work at once.
+	// of an upstream, so each of this proxy's statements stands for several. Only half of
+	// what those would add counts, which keeps a single proxy's burst from moving all work
+	// at once.
 	inFlightWeight = 0.5
 	// otherZoneCost is the cost of another availability zone: 1 ms in each direction, and
 	// traffic that is paid for. Measured latencies of healthy upstreams differ by less than
@@ -126,6 +127,7 @@
 // chosen only when no other is left.
 const lastResortCost = time.Minute
 
+// cost returns the cost of choosing a candidate, as a time.
 func cost(c *Candidate, need Need) time.Duration {
 	cost := c.QueueWait + c.Latency + connectDelayWeight*c.ConnectDelay + time.Duration(inFlightWeight*float64(c.InFlight)*float64(c.Latency))
 	if !c.SameZone {
