--- a/conductor/session.go
+++ b/conductor/session.go
@@ -46,7 +46,7 @@
 	mu       sync.Mutex // held while a statement runs
 	values   []carrier.Value
 	prepared map[string]carrier.Prepared
-	mark     tracker.Mark // furthest position of the session's own writes
+	mark     tracker.Mark // furthest position answered to a write or commit of the session
 
 	state            carrier.State
 	readOnly         bool
