--- a/cataloger/catalog.go
+++ b/cataloger/catalog.go
@@ -18,7 +18,7 @@
 // The kinds of freshness.
 const (
 	Latest           Freshness = iota // every write that was acknowledged before the read
-	BoundedStaleness                  // every write older than the route's maximum age
+	BoundedStaleness                  // every write older than the route's MaxStaleness
 	ReadYourWrites                    // as BoundedStaleness, and all writes of the same session
 )
 
@@ -61,7 +61,7 @@
 	Groups  []GroupSettings `json:"groups"`
 	// IdleTransactionTimeout is how long a caller may leave a transaction idle.
 	IdleTransactionTimeout time.Duration `json:"rest"`
-	// KeysRequired says that callers need the key of a workspace on routes that are not
+	// KeysRequired is true if callers need the key of a workspace on routes that are not
 	// public.
 	KeysRequired bool        `json:"keyed,omitempty"`
 	Workspaces   []Workspace `json:"workspaces,omitempty"`
@@ -76,11 +76,11 @@
 	Address netip.AddrPort
 	Zone    string
 	Slots   int
-	// Born is when the upstream started, zero if the entry does not say. An upstream
+	// Born is when the upstream started, zero if the entry has no such time. An upstream
 	// that restarts under the same ID holds nothing from before.
 	Born    time.Time
 	Leaving bool
-	// Leads is whether the upstream last reported that it is the leader.
+	// Leads is true if the upstream's last report is that it is the leader.
 	Leads bool
 }
 
@@ -110,8 +110,8 @@
 // The known upstreams are the content of the store at one version, up to which they are
 // complete, and possibly some later changes. If the digests of two catalogs differ, the
 // one that is complete up to the later version knows something that the other lacks.
-// Nothing else tells them apart, because a removal leaves no newer entry behind. If the
-// highest version of an entry were compared instead, a process that had already
+// Entries alone cannot show which one that is, because a removal leaves no newer entry
+// behind. If the highest version of an entry were compared, a process that had already
 // received a newer entry would never learn of an earlier removal, and would take a
 // leader that no longer exists for a live one.
 //
@@ -177,9 +177,9 @@
 	return v
 }
 
-// Put applies a changed entry and reports whether it is newer than the known one. An
-// unknown entry whose version is not after the one up to which the catalog is complete
-// has been removed since and is ignored.
+// Put applies a changed entry and reports whether it did. An entry that is not newer than
+// the known one is ignored, and so is an unknown entry that is not newer than both
+// CompleteVersion and its own removal, because it has been removed since.
 func (c *Catalog) Put(u Upstream) bool {
 	old, known := c.upstreams[u.ID]
 	if known && !old.Version.Less(u.Version) {
@@ -229,8 +229,8 @@
 }
 
 // Remove applies the removal of an entry and reports whether it removed one. The
-// version is that of the removal or, as a watch reports it, any version from the
-// entry's last change on.
+// version is that of the removal or, since a watch may report less, any version from
+// the entry's last change on.
 func (c *Catalog) Remove(id string, version versioner.Version) bool {
 	old, known := c.upstreams[id]
 	if known && version.Less(old.Version) {
--- a/cataloger/catalog_test.go
+++ b/cataloger/catalog_test.go
@@ -57,8 +57,8 @@
 // Guards against a removal that does not reach a process that syncs from peers, which
 // would take a leader that no longer exists for a live one, so that no replica is
 // promoted. Two processes watch and get the removal with the revision of the entry's
-// last change; the third asks only peers that have something newer, so the removal has
-// to count as newer.
+// last change; the third requests updates only from peers that have something newer, so
+// the removal has to count as newer.
 func TestRemovalIsSynced(t *testing.T) {
 	is := is.New(t)
 	var watcher, other Catalog
@@ -80,7 +80,7 @@
 // Guards against a lease holder that keeps two removed upstreams for good: one whose
 // replication it cannot suspend, so that no replica is promoted. A leader and a replica
 // crash and lose their entries, and the replica returns under another ID. A peer that
-// has received the new entry but not the removals is asked first. If catalogs were
+// has received the new entry but not the removals gets the first request. If catalogs were
 // compared by the highest revision of an entry, that revision would be the same from
 // then on.
 func TestRemovalBeforeNewerEntryIsSynced(t *testing.T) {
@@ -101,7 +101,7 @@
 	is.Equal(holder.Digest(), watcher.Digest())
 }
 
-// Guards against processes that ask their peers for updates every 2 s: one reads the
+// Guards against processes that request updates from their peers every 2 s: one reads the
 // whole list again, unchanged but at a higher revision, and the revision alone must not
 // count as a change.
 func TestUnchangedListNeedsNoUpdate(t *testing.T) {
@@ -115,9 +115,9 @@
 }
 
 // Guards against a process that lacks an upstream, or keeps a removed one, for good
-// because the changes it gets are incomplete. It asks a peer from time to time for the
-// changes since it was last complete; entries are added, changed, removed and added
-// again in the meantime.
+// because the changes it gets are incomplete. From time to time it requests
+// from a peer the changes since it was last complete; entries are added, changed,
+// removed and added again in the meantime.
 func TestMergingChangesMakesCatalogsEqual(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 8))
--- a/cataloger/doc.go
+++ b/cataloger/doc.go
@@ -3,9 +3,8 @@
 //
 // Both come from lists and watches that may be interrupted, repeated or out of date, and
 // the configuration also from peers. A Catalog accepts them in any order and never
-// goes back: a configuration of an older version or an entry of an older revision changes
-// nothing. A Catalog belongs to one goroutine; request handling reads the
-// immutable View that it publishes.
+// goes back: a configuration or an entry of an older version changes nothing. A Catalog
+// belongs to one goroutine; request handling reads the immutable View that it publishes.
 //
 // # Usage
 //
--- a/cataloger/workspace.go
+++ b/cataloger/workspace.go
@@ -20,7 +20,7 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the first bytes, enough to tell keys apart in a log.
+// String returns the first bytes in base64, enough to distinguish keys in a log.
 func (f Fingerprint) String() string {
 	const shown = 6
 	return base64.RawURLEncoding.EncodeToString(f[:shown])
--- a/fetcher/doc.go
+++ b/fetcher/doc.go
@@ -9,7 +9,8 @@
 // that a fleet whose peers do not deliver does not turn to the store all at once.
 //
 // The package does no I/O and reads no clock: the caller passes in what peers report and when,
-// asks for the next source, and reports the outcome. A Fetcher is not safe for concurrent use.
+// gets the next source from Next, and reports the outcome with Done. A Fetcher is not safe for
+// concurrent use.
 //
 // # Usage
 //
--- a/fetcher/fetcher.go
+++ b/fetcher/fetcher.go
@@ -19,7 +19,7 @@
 	// busy; both plus up to 50% jitter.
 	failedPeerDelay = 2 * time.Second
 	busyPeerDelay   = 200 * time.Millisecond
-	// maxOffers bounds how many peers are remembered.
+	// maxOffers bounds how many offers are kept, one per peer.
 	maxOffers = 16
 )
 
@@ -50,12 +50,12 @@
 	held        versioner.Version // version that this process has
 	newest      versioner.Version // newest version offered by a peer
 	newestAt    time.Time         // when newest was first offered
-	storeReadAt time.Time         // when to read the store; set while a version is missing
+	storeReadAt time.Time         // when to read the store next, if a version is missing then
 	offers      []offer           // in the order in which the peers were added
 
 	isFetching     bool // a request to a peer is in flight
 	isReadingStore bool
-	requested      versioner.Version // version that the peer offered
+	requested      versioner.Version // version offered by the peer of the last request
 }
 
 // offer is a peer that has a newer version.
@@ -127,7 +127,7 @@
 	}
 	switch outcome {
 	case Delivered:
-		if f.offers[i].version == f.requested { // it no longer has the version it offered
+		if f.offers[i].version == f.requested { // it did not deliver the version that it offered
 			f.offers = slices.Delete(f.offers, i, i+1)
 		}
 	case Busy:
--- a/pooler/doc.go
+++ b/pooler/doc.go
@@ -23,5 +23,6 @@
 //		pool.Discard(conn)
 //	}
 //
-// Every connection from Get must be returned by exactly one Put or Discard.
+// Every connection from a Get or TryGet method must be returned by exactly one Put or
+// Discard.
 package pooler
--- a/pooler/pool.go
+++ b/pooler/pool.go
@@ -55,7 +55,7 @@
 // request selects the connections that a caller accepts.
 type request struct {
 	owner string
-	any   bool // of every owner
+	any   bool // connections of every owner match
 }
 
 func (r request) matches(owner string) bool { return r.any || r.owner == owner }
@@ -67,7 +67,8 @@
 	granted  chan grant[C]
 }
 
-// grant is an open connection or, if established is false, the right to dial one.
+// grant is an error, an open connection or, if established is false, the right to dial
+// one.
 type grant[C any] struct {
 	conn        C
 	established bool
@@ -88,7 +89,7 @@
 
 // Get returns a connection of any owner, for use by the caller alone until Put or
 // Discard. It takes an idle one, opens one within the limit, or waits until ctx ends.
-// The error is that of ctx or of Dial, ErrClosed or ZeroLimitErr.
+// The error is that of ctx or of Dial, ErrClosed, ZeroLimitErr or that of FailWaiting.
 func (p *Pool[C]) Get(ctx context.Context) (C, error) { return p.get(ctx, request{any: true}) }
 
 // GetFor is Get for a connection that was opened for the owner and is used for no
@@ -248,8 +249,8 @@
 }
 
 // Shrink closes the connections that were idle all the time since the last call, but
-// leaves keep connections open. Called at a fixed interval, it closes the connections
-// that a peak of load has opened.
+// leaves at least keep connections open, idle or in use. Called at a fixed interval, it
+// closes the connections that a peak of load has opened.
 func (p *Pool[C]) Shrink(keep int) {
 	p.mu.Lock()
 	n := max(0, min(p.minIdle, p.open-keep, len(p.idle)))
@@ -298,7 +299,8 @@
 	return false
 }
 
-// connect returns the connection of a grant, which it dials if need be.
+// connect returns the connection or the error of a grant. It dials if the grant is the
+// right to do so.
 func (p *Pool[C]) connect(ctx context.Context, owner string, g grant[C]) (C, error) {
 	if g.established || g.err != nil {
 		return g.conn, g.err
@@ -458,11 +460,11 @@
 func (p *Pool[C]) Sweep(alive func(C) bool) {
 	p.mu.Lock()
 	var dead []C
-	p.idle = slices.DeleteFunc(p.idle, func(w idleConn[C]) bool {
-		if alive(w.conn) {
+	p.idle = slices.DeleteFunc(p.idle, func(candidate idleConn[C]) bool {
+		if alive(candidate.conn) {
 			return false
 		}
-		dead = append(dead, w.conn)
+		dead = append(dead, candidate.conn)
 		return true
 	})
 	p.minIdle = min(p.minIdle, len(p.idle))
--- a/proxier/catalog.go
+++ b/proxier/catalog.go
@@ -48,8 +48,8 @@
 }
 
 // awaitConfig returns the configuration in force, waiting up to d for the first one. Callers
-// connect as soon as the process listens; without the wait they would be told that their
-// database does not exist.
+// connect as soon as the process listens; without the wait they would be refused because there
+// is no configuration yet.
 func (s *stateCache) awaitConfig(d time.Duration) *cataloger.View {
 	for end := time.Now().Add(d); s.view.Load() == nil && time.Now().Before(end); {
 		time.Sleep(configPollInterval)
@@ -210,8 +210,8 @@
 	return s.catalog.ChangesSince(complete)
 }
 
-// merge applies the changes that a peer sent. They count only if they are at least as complete
-// as what is known here.
+// merge applies the changes that a peer sent. They are ignored unless they are at least as
+// complete as what this process knows.
 func (s *stateCache) merge(changes cataloger.Changes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/proxier/check.go
+++ b/proxier/check.go
@@ -11,8 +11,8 @@
 )
 
 // Intervals at which some process of the fleet lists each kind of object in full. A watch may
-// receive nothing for seconds while changes are made, and only then be told that the history
-// is gone; processes then route by a configuration that was replaced 5 s ago. One process
+// receive nothing for seconds while changes are made, and only then the answer that the history
+// is gone; until then processes route by a configuration that was replaced 5 s ago. One process
 // lists the objects and gossip spreads what it finds. This bounds the delay to the intervals
 // below at the cost of one call each, whatever the size of the fleet.
 const (
@@ -30,11 +30,12 @@
 	checkGossipDelay = 700 * time.Millisecond
 	// peerDiscoveryTimeout is how long a process that has just started, and has no list of its
 	// peers, waits for updates from them before it watches. During that time a process that
-	// has the list ranks itself among all peers on it, whether it has heard from them or not.
+	// has the list ranks itself among all peers on it, even those it has received nothing from.
 	// Without either, each of 68 processes that start together ranks itself first, and each
 	// change is delivered and paid for 68 times.
 	peerDiscoveryTimeout = 1500 * time.Millisecond
-	// checkPollInterval is the time between two tests whether a check is due.
+	// checkPollInterval is the time between two tests of whether an overdue check is this
+	// process's to make.
 	checkPollInterval = 100 * time.Millisecond
 )
 
@@ -51,28 +52,28 @@
 	times map[string]time.Time
 }
 
-func (c *readTimes) record(kind string, at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.recordLocked(kind, at)
+func (r *readTimes) record(kind string, at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recordLocked(kind, at)
 }
 
-func (c *readTimes) recordLocked(kind string, at time.Time) {
-	if c.times == nil {
-		c.times = map[string]time.Time{}
+func (r *readTimes) recordLocked(kind string, at time.Time) {
+	if r.times == nil {
+		r.times = map[string]time.Time{}
 	}
-	if c.times[kind].Before(at) {
-		c.times[kind] = at
+	if r.times[kind].Before(at) {
+		r.times[kind] = at
 	}
 }
 
-// merge takes in a peer's read times, as ages in the order of kinds.
-func (c *readTimes) merge(ages []time.Duration, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// merge records the reads that a peer reports, as ages in the order of kinds.
+func (r *readTimes) merge(ages []time.Duration, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for i, kind := range kinds() {
 		if i < len(ages) && ages[i] < neverRead {
-			c.recordLocked(kind, now.Add(-ages[i]))
+			r.recordLocked(kind, now.Add(-ages[i]))
 		}
 	}
 }
@@ -80,23 +81,23 @@
 // ages returns how long ago each kind was read, to be sent to peers. It includes what other
 // peers reported: in a large fleet a process seldom receives the reader's own state, and would
 // otherwise read the store itself.
-func (c *readTimes) ages(now time.Time) []time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (r *readTimes) ages(now time.Time) []time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []time.Duration
 	for _, kind := range kinds() {
-		out = append(out, min(now.Sub(c.times[kind]), neverRead))
+		out = append(out, min(now.Sub(r.times[kind]), neverRead))
 	}
 	return out
 }
 
-func (c *readTimes) lastRead(kind string) time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.times[kind]
+func (r *readTimes) lastRead(kind string) time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.times[kind]
 }
 
-// runChecks reads a kind in full whenever no other process has done so for a while.
+// runChecks reads a kind in full whenever no process of the fleet has done so for checkDelay.
 func (p *Proxier) runChecks(ctx context.Context, w *storeWatcher, interval time.Duration) {
 	lastAttempt := bootClock() // the process lists everything at start
 	timer := time.NewTimer(interval)
@@ -130,7 +131,7 @@
 	return b
 }
 
-// checkDelay returns how long after the last check this process makes the next one.
+// checkDelay returns how long after the fleet's last check this process makes the next one.
 func (p *Proxier) checkDelay(kind string, interval time.Duration) time.Duration {
 	rank := p.readerRank(kind)
 	if rank == 0 {
@@ -193,5 +194,6 @@
 	return names
 }
 
-// isStarting reports whether this process has not had the time to hear from its peers yet.
+// isStarting reports whether this process started so recently that peers may not have sent it
+// updates yet.
 func (p *Proxier) isStarting() bool { return bootClock().Sub(p.startedAt) < peerDiscoveryTimeout }
--- a/proxier/check_test.go
+++ b/proxier/check_test.go
@@ -58,8 +58,8 @@
 }
 
 // Guards against two faults in a fleet that starts after a power loss, when no process has
-// heard from any other: if all wait to hear from the others, changes of the upstreams are
-// noticed 2 s late; if all watch, every process pays for each change.
+// received anything from any other: if all wait for updates from the others, changes of the
+// upstreams are noticed 2 s late; if all watch, every process pays for each change.
 func TestTwoProcessesOfNewFleetWatch(t *testing.T) {
 	is := is.New(t)
 	watching := 0
--- a/proxier/enroll.go
+++ b/proxier/enroll.go
@@ -16,7 +16,7 @@
 // proxiesKind is the kind of the store objects by which processes find one another.
 const proxiesKind = "proxies"
 
-// proxyEntry is the value of such an object.
+// proxyEntry is the value of an object of proxiesKind.
 type proxyEntry struct {
 	Zone       string         `json:"zone"`
 	GossipAddr netip.AddrPort `json:"peers"`
@@ -52,10 +52,10 @@
 	}
 }
 
-// tryEnroll reads the list first: a process that restarts unchanged finds its own entry and
-// needs nothing else from the store. A new process writes its entry, and reads the list again
-// once those that start together with it have written theirs, because the first list lacks the
-// ones that came later.
+// tryEnroll makes one attempt to enroll. It reads the list first: a process that restarts
+// unchanged finds its own entry and needs nothing else from the store. A new process writes its
+// entry, and reads the list again once those that start together with it have written theirs,
+// because the first list lacks the ones that came later.
 func (p *Proxier) tryEnroll(ctx context.Context) error {
 	isListed, err := p.loadPeers(ctx)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return proxyEntry{Zone: p.Settings.Zone, GossipAddr: p.gossip.LocalAddr(), GatewayAddr: p.gatewayAddr, Start: p.incarnation, Millicores: p.millicores()}
 }
 
-// parseEntry parses the value of an object.
+// parseEntry parses the value of an object of proxiesKind.
 func parseEntry(o keeper.Object) (proxyEntry, error) {
 	var e proxyEntry
 	err := json.Unmarshal(o.Value, &e)
@@ -146,9 +146,9 @@
 	}
 }
 
-// deleteEntry deletes the store entry of a process that is gone for good. The process of rank
-// 0 does so. Without it the list would grow with each machine that was ever replaced, and each
-// process that starts would take them all into account.
+// deleteEntry deletes the store entry of a process that is gone for good. Only the process of
+// rank 0 does so. If nobody did, the list would grow with each machine that was ever replaced,
+// and each process that starts would take them all into account.
 func (p *Proxier) deleteEntry(name string) {
 	if p.readerRank(proxiesKind) > 0 {
 		return
--- a/proxier/fallback_test.go
+++ b/proxier/fallback_test.go
@@ -24,7 +24,7 @@
 	requests atomic.Int64
 }
 
-// newSilentFleet starts n of them and lists them in the platform's store.
+// newSilentFleet starts n such processes and lists them in the platform's store.
 func newSilentFleet(t *testing.T, platform *faker.Platform, n int) *silentFleet {
 	t.Helper()
 	is := is.New(t)
--- a/proxier/fleet_test.go
+++ b/proxier/fleet_test.go
@@ -44,7 +44,7 @@
 	return newFleetWith(t, &faker.Platform{}, n)
 }
 
-// newFleetWith does the same with a platform that has not been started yet.
+// newFleetWith is newFleet with a platform that has not been started yet.
 func newFleetWith(t *testing.T, platform *faker.Platform, n int) *fleet {
 	t.Helper()
 	is := is.New(t)
--- a/proxier/follow.go
+++ b/proxier/follow.go
@@ -36,7 +36,7 @@
 type storeWatcher struct {
 	store *keeper.Client
 	kind  string
-	// onList takes in a whole list as of a version, onChange all that has changed up to a
+	// onList applies a whole list as of a version, onChange all that has changed up to a
 	// version.
 	onList   func(list []keeper.Object, version versioner.Version)
 	onChange func(list []keeper.Object, version versioner.Version)
--- a/proxier/peers.go
+++ b/proxier/peers.go
@@ -58,7 +58,7 @@
 	return answer.Payload, err
 }
 
-// ownState is the state that peers receive.
+// ownState returns the state that is sent to peers.
 func (p *Proxier) ownState() gossiper.State {
 	complete, digest := p.cache.completeVersion()
 	return gossiper.State{
@@ -68,7 +68,7 @@
 	}
 }
 
-// onPeerState takes in a peer's state. If the peer has something newer, it is requested.
+// onPeerState handles a peer's state. If the peer has something newer, it is requested.
 func (p *Proxier) onPeerState(s gossiper.State) {
 	p.fullReads.merge(s.StoreReadAges, bootClock())
 	if s.Configuration > p.cache.current().Config.Version {
@@ -96,7 +96,7 @@
 	paramFleet         = "fleet"
 )
 
-// formNumber parses a number from a peer's request; it is zero if missing.
+// formNumber parses a number from a peer's request; it is zero if missing or invalid.
 func (p *Proxier) formNumber(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.FormValue(name), 10, 64)
 	if err != nil {
@@ -144,20 +144,20 @@
 }
 
 // writeConfiguration writes the configuration to a peer, which waits at most peerFetchTimeout.
-func (p *Proxier) writeConfiguration(out io.Writer, link *http.ResponseController, c *cataloger.Config) error {
+func (p *Proxier) writeConfiguration(out io.Writer, controller *http.ResponseController, c *cataloger.Config) error {
 	body, err := p.packed.bytesOf(c)
 	if err != nil {
 		return err
 	}
-	if err := link.SetWriteDeadline(time.Now().Add(peerFetchTimeout)); err != nil {
+	if err := controller.SetWriteDeadline(time.Now().Add(peerFetchTimeout)); err != nil {
 		return errors.Wrap(err, "proxier: set the write deadline of a transfer")
 	}
 	// The connection is reused, and the deadline would apply to later responses as well.
-	defer func() { _ = link.SetWriteDeadline(time.Time{}) }()
+	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	if _, err := out.Write(body); err != nil {
 		return errors.Wrap(err, "proxier: send the configuration")
 	}
-	return errors.Wrap(link.Flush(), "proxier: send the configuration")
+	return errors.Wrap(controller.Flush(), "proxier: send the configuration")
 }
 
 // fetchKnown requests a peer's upstream entries and its list of the fleet, and merges them.
@@ -187,8 +187,8 @@
 
 // fetchConfiguration requests a peer's configuration and puts it in force.
 func (p *Proxier) fetchConfiguration(ctx context.Context, addr netip.AddrPort) error {
-	have := strconv.FormatUint(p.cache.current().Config.Version, 10)
-	return p.fetch(ctx, addr, "/configuration", url.Values{paramConfiguration: {have}}, func(body io.Reader) error {
+	version := strconv.FormatUint(p.cache.current().Config.Version, 10)
+	return p.fetch(ctx, addr, "/configuration", url.Values{paramConfiguration: {version}}, func(body io.Reader) error {
 		c, err := unpack(body)
 		if err != nil {
 			return err
--- a/proxier/proxier.go
+++ b/proxier/proxier.go
@@ -123,7 +123,7 @@
 	once          sync.Once
 }
 
-// Started is closed when callers can connect.
+// Started returns a channel that is closed when callers can connect.
 func (p *Proxier) Started() <-chan struct{} {
 	p.once.Do(func() { p.started = make(chan struct{}) })
 	return p.started
@@ -372,9 +372,10 @@
 }
 
 // sharingProxies returns the processes that share the upstreams' connections, this one first:
-// all those on the list of the fleet, whether they answer or not. A process that has just
-// started has heard from nobody yet and would take all connections: after a power loss
-// everywhere, upstreams then refuse most connections for seconds.
+// all those on the list of the fleet, whether they answer or not. If only those that answer
+// counted, a process that has just started, and has received nothing from any peer yet, would
+// take all connections: after a power loss everywhere, upstreams would then refuse most
+// connections for seconds.
 func (p *Proxier) sharingProxies() []string {
 	names := []string{p.Settings.Name}
 	for _, s := range p.gossip.Fleet() {
--- a/proxier/proxier_test.go
+++ b/proxier/proxier_test.go
@@ -207,8 +207,8 @@
 	f.platform.Away(false)
 }
 
-// Guards against connections that are closed in the middle of a request when a process is told
-// to stop while callers read without a pause. This happens if a session is ended between
+// Guards against connections that are closed in the middle of a request when a process stops
+// gracefully while callers read without a pause. This happens if a session is ended between
 // reading a request and answering it. Each statement that an upstream has run must have been
 // answered.
 func TestGracefulStopInterruptsNoRequest(t *testing.T) {
--- a/proxier/quota.go
+++ b/proxier/quota.go
@@ -23,9 +23,10 @@
 	// tokenRequestTimeout is how long to wait for a shard owner's reply before the request is
 	// repeated: datagrams get lost.
 	tokenRequestTimeout = 60 * time.Millisecond
-	// maxTokenRequests is how often a shard owner is asked before another process replaces it.
+	// maxTokenRequests is how often a request is sent to a shard owner before another process
+	// replaces it.
 	maxTokenRequests = 4
-	// minRetryAfter is the shortest delay that a refused caller is told to wait.
+	// minRetryAfter is the shortest delay that is reported to a refused caller.
 	minRetryAfter = 50 * time.Millisecond
 	// maxTokenWait is how long a statement may wait for a definite verdict.
 	maxTokenWait = 600 * time.Millisecond
@@ -55,8 +56,8 @@
 	pending       map[uint64]chan throttler.Verdict
 }
 
-// admit takes one operation off a workspace's quota, or returns the refusal if there is none
-// left.
+// admit takes a token for one operation out of a workspace's quota, or returns the refusal if
+// it gets none.
 func (q *quotaLimiter) admit(workspace string, deadline time.Time) carrier.Answer {
 	quota := q.view().Quota(workspace)
 	if quota == nil {
--- a/proxier/restore.go
+++ b/proxier/restore.go
@@ -31,6 +31,7 @@
 	eraPollInterval = 250 * time.Millisecond
 )
 
+// Counters of restores of the store, and of its answers that were dropped.
 const (
 	storeRestores  = "basildale_store_restores"
 	answersDropped = "basildale_store_answers_dropped"
@@ -40,7 +41,7 @@
 // peers.
 func (p *Proxier) storeEra() uint64 { return max(p.store.Era(), p.peerEra.Load()) }
 
-// receiveEra takes in an era that a peer reports.
+// receiveEra records an era that a peer reports.
 func (p *Proxier) receiveEra(era uint64, peer string) {
 	if era > versioner.MaxEra {
 		return
--- a/proxier/share.go
+++ b/proxier/share.go
@@ -22,27 +22,27 @@
 	gatewayConnections = 8
 	// reservedPercent is the percentage of the connections that gateways leave to processes
 	// that cannot reach any gateway, and isolatedShare is what such a process takes at each
-	// upstream. Without the reserve a process that is cut off from the others, but reaches the
-	// upstreams, refuses everything for the groups of which it is not a gateway.
+	// upstream. Without the reserve a process that is partitioned from the others, but reaches
+	// the upstreams, refuses everything for the groups of which it is not a gateway.
 	reservedPercent = 20
 	isolatedShare   = 1
 	// noConnectionsTimeout is how long a process that has just started takes no connections at
 	// all while it has no list of its peers. The lists of upstreams and of peers arrive within
 	// a tenth of a second of each other. Without the delay every process of a fleet opened a
 	// connection to every upstream in between, reported to its peers that it was a gateway,
-	// and refused them a moment later.
+	// and refused their statements a moment later.
 	noConnectionsTimeout = time.Second
 	// peersUnknownTimeout is how long a process without a list of its peers takes no more than
-	// isolatedShare: until it has heard from all of them by gossip. Before that it would take
-	// the few that it has heard from for the whole fleet, and their part of the connections
-	// for its own.
+	// isolatedShare: until it has received the state of all of them by gossip. Before that it
+	// would take the few that it knows for the whole fleet, and the others' part of the
+	// connections for its own.
 	peersUnknownTimeout = 8 * time.Second
 	// peerStateMaxAge is how long a peer's reported state of a group counts. Gateways of the
-	// same groups hear from each other every half second; from others, updates arrive by
-	// chance, and they are asked instead.
+	// same groups receive each other's state every half second. From others, updates arrive by
+	// chance, so statements are forwarded to them without a recent report.
 	peerStateMaxAge = 2 * time.Second
-	// isolationMinUptime is the uptime after which a process has heard from peers if there are
-	// any: a few gossip rounds.
+	// isolationMinUptime is the uptime after which a process has received the state of peers if
+	// it reaches any: a few gossip rounds.
 	isolationMinUptime = 3 * time.Second
 )
 
@@ -83,7 +83,7 @@
 	return out
 }
 
-// provisionalShare is the share of a process that does not know its peers yet.
+// provisionalShare returns the share of a process that does not know its peers yet.
 func (p *Proxier) provisionalShare() int {
 	if bootClock().Sub(p.startedAt) < noConnectionsTimeout {
 		return 0
@@ -105,8 +105,8 @@
 }
 
 // gateways returns the peers to which a statement of a group may be forwarded: the assigned
-// gateways, which this process computes just as they do, whether it has heard from them or
-// not; or all live peers if every proxy has connections.
+// gateways, which this process computes just as they do, even before it has received anything
+// from them; or all live peers if every proxy has connections.
 func (p *Proxier) gateways(group string) []forwarder.Candidate {
 	assigned := p.assignedGateways.Load()
 	if assigned == nil || (*assigned)[group] == nil {
@@ -115,8 +115,8 @@
 	return gatewaysAmong(group, p.gossip.ReachablePeers((*assigned)[group]), bootClock())
 }
 
-// gatewaysAmong returns those peers that are gateways of a group. A peer's own report decides
-// where it is recent.
+// gatewaysAmong returns those peers that are gateways of a group. A peer with a recent report is
+// one if the report says so; a peer without is assumed to be one.
 func gatewaysAmong(group string, peers []gossiper.Peer, now time.Time) []forwarder.Candidate {
 	out := make([]forwarder.Candidate, 0, len(peers))
 	for _, peer := range peers {
@@ -143,11 +143,11 @@
 	return out
 }
 
-// millicores is this process's CPU capacity in thousandths of a core.
+// millicores returns this process's CPU capacity in thousandths of a core.
 func (p *Proxier) millicores() uint16 { return uint16(math.Round(1000 * p.Settings.Processor)) }
 
 // knowsPeers reports whether this process knows its peers: a list of them has arrived, or
-// enough time has passed to hear from them all.
+// enough time has passed to receive the state of all of them.
 func (p *Proxier) knowsPeers() bool {
 	return p.peersKnown.Load() || bootClock().Sub(p.startedAt) >= peersUnknownTimeout
 }
@@ -159,7 +159,7 @@
 }
 
 // isIsolated reports whether this process reaches no gateway of a group, after an uptime in
-// which it would have heard from one.
+// which it would have received the state of one.
 func (p *Proxier) isIsolated(group string) bool {
 	if p.forward == nil || bootClock().Sub(p.startedAt) < isolationMinUptime {
 		return false
--- a/proxier/share_test.go
+++ b/proxier/share_test.go
@@ -75,7 +75,7 @@
 		p := newTestProxier(i, 68)
 		p.forward = &forwarder.Forwarder{}
 		before := p.shares(map[string]int{"billet": 162}, 68)["billet"]
-		p.startedAt = bootClock().Add(-2 * isolationMinUptime) // long enough to have heard from others, but it hears from nobody
+		p.startedAt = bootClock().Add(-2 * isolationMinUptime) // long enough to have received the state of others, but none arrives
 		after := p.shares(map[string]int{"billet": 162}, 68)["billet"]
 		if before > 0 {
 			gateways++
@@ -101,7 +101,7 @@
 	p.startedAt = bootClock().Add(-2 * noConnectionsTimeout)
 	is.Equal(p.shares(map[string]int{"billet": 49}, 2)["billet"], isolatedShare)
 	p.startedAt = bootClock().Add(-2 * peersUnknownTimeout)
-	is.Equal(p.shares(map[string]int{"billet": 49}, 2)["billet"], 24) // by then it has heard from all that are alive
+	is.Equal(p.shares(map[string]int{"billet": 49}, 2)["billet"], 24) // by then it has received the state of all that are alive
 }
 
 // Guards against statements that are forwarded to processes that are not gateways after a
@@ -136,8 +136,8 @@
 }
 
 // Guards against refused or late statements in the first seconds of a large fleet. A process
-// that is no gateway of a group has heard from one of its gateways, or from none, so it must
-// not depend on their own reports to know which they are.
+// that is no gateway of a group has received the state of one of its gateways, or of none, so it
+// must not depend on their own reports to know which they are.
 func TestGatewaysAreKnownBeforeTheyReport(t *testing.T) {
 	is := is.New(t)
 	const fleet = 195
--- a/proxier/stop.go
+++ b/proxier/stop.go
@@ -21,9 +21,10 @@
 	stopTimeoutFraction = 0.92
 )
 
-// stop ends the process gracefully. It is unready at once, serves on while the load balancer
-// still sends callers, then ends sessions between two requests, and exits when none is left or
-// the timeout expires.
+// stop ends the process gracefully. The process is not ready from then on, but serves while the
+// load balancer still sends callers. Then it ends sessions between two requests, and exits when
+// none is left and no forwarded transaction is open, or when stopTimeoutFraction of the
+// timeout has passed.
 func (p *Proxier) stop() {
 	began := time.Now()
 	limit := time.Duration(stopTimeoutFraction * float64(p.stopTimeout.Load()))
--- a/proxier/syncer.go
+++ b/proxier/syncer.go
@@ -38,7 +38,7 @@
 	s.wakeUp()
 }
 
-// wakeUp makes run check for the next source.
+// wakeUp makes run check at once for the next source.
 func (s *syncer) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
--- a/versioner/eras.go
+++ b/versioner/eras.go
@@ -56,7 +56,8 @@
 	return e.advance(era)
 }
 
-// advance records a stated era.
+// advance records a stated era, unless it is an earlier one. The first accepted answer is
+// Current whatever its era, because nothing is known from an earlier one.
 func (e *EraTracker) advance(era uint64) Verdict {
 	if era < e.current {
 		return Earlier
