--- a/overseer/demote.go
+++ b/overseer/demote.go
@@ -54,14 +54,15 @@
 	go o.demoteIfPartitioned(g, seen, now.Sub(g.stalledSince))
 }
 
-// demoteIfPartitioned demotes a commit-stalled leader, unless another upstream answers here:
-// in that case the lease holder replaces it.
+// demoteIfPartitioned demotes a commit-stalled leader, unless another upstream answers here, in
+// which case the lease holder replaces the leader, or refuses the connection, in which case it
+// is down and there is no partition.
 func (o *Overseer) demoteIfPartitioned(g *group, seen carrier.Observation, stalled time.Duration) {
-	for _, m := range seen.Upstreams {
-		if m.ID == seen.Leader {
+	for _, u := range seen.Upstreams {
+		if u.ID == seen.Leader {
 			continue
 		}
-		_, err := g.carrierGroup.Control(m.ID, time.Now().Add(partitionCheckTimeout), carrier.Command{Verb: carrier.Status})
+		_, err := g.carrierGroup.Control(u.ID, time.Now().Add(partitionCheckTimeout), carrier.Command{Verb: carrier.Status})
 		if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 			return // it answers, or its process is down: no partition
 		}
--- a/overseer/lease.go
+++ b/overseer/lease.go
@@ -25,8 +25,8 @@
 	// count. The report of a peer that has since been partitioned or died would delay a change
 	// of leader.
 	maxPeerStateAge = holderTimeout
-	// rankDelay delays each next process in the order, so that one of them writes to the store
-	// and the others learn of it.
+	// rankDelay is how much longer each process in the order waits than the one before it, so
+	// that one of them writes to the store and the others learn of it.
 	rankDelay = 400 * time.Millisecond
 	// claimTimeout bounds all store calls of one claim.
 	claimTimeout = 2 * time.Second
@@ -37,7 +37,7 @@
 // leaseKind is the kind of the store's objects that record lease holders.
 const leaseKind = "duties"
 
-// leaseRecord is the value of such an object.
+// leaseRecord is the value of an object of that kind.
 type leaseRecord struct {
 	Holder string `json:"holder"`
 	// Start distinguishes incarnations of the holder, and Claim its claims.
@@ -49,9 +49,9 @@
 // position in the block: a store with 400 writes a second needs more after 87 years.
 const revisionBits = 40
 
-// tokenOf returns the first token of the block of a claim that was written at a version. It
-// depends on nothing that a restore removes: a store never issues the same version twice, and
-// a later version is higher, no matter who remembers the earlier ones.
+// tokenOf returns the first token of the block of a claim that was written at a version. The
+// token depends on nothing that a restore removes: a store never issues the same version twice,
+// and a later version is higher, no matter who remembers the earlier ones.
 func tokenOf(v versioner.Version) (uint64, error) {
 	if v.Era > versioner.MaxEra || v.Revision >= 1<<revisionBits {
 		return 0, errors.Newf("overseer: no token for the version %s", v)
@@ -64,7 +64,7 @@
 
 // lease is what this process knows of the lease of one group.
 type lease struct {
-	token        uint64         // of this process; zero when it does not hold the lease
+	token        uint64         // first token of this process's block; zero when it does not hold the lease
 	lastHolder   gossiper.State // the holder seen last; empty when it is this process
 	holderSeenAt time.Time      // when a holder was last seen, including this process
 	maxToken     uint64         // highest token seen
@@ -97,9 +97,9 @@
 }
 
 // releaseUnlessGateway releases the lease at a process that is no longer a gateway for the
-// group: it sees nothing of the group, and as long as it reports that it holds the lease no
-// other process claims it. The symptom is a leader that is leaving and still serves until it
-// stops, 10 s later. It reports whether there was a lease to release.
+// group, and reports whether there was a lease to release. Such a process sees nothing of the
+// group, and as long as it reports that it holds the lease no other process claims it: a leader
+// that is leaving would still serve until it stops, 10 s later.
 func (l *lease) releaseUnlessGateway(isGateway bool) bool {
 	if isGateway || l.token == 0 {
 		return false
@@ -127,11 +127,11 @@
 	if l.token > 0 || l.claiming || now.Before(l.nextClaim) || o.Leaving() || !o.groups[group].carrierGroup.IsGateway() {
 		return false
 	}
-	silent := now.Sub(l.holderSeenAt)
-	if silent <= holderTimeout {
+	silence := now.Sub(l.holderSeenAt)
+	if silence <= holderTimeout {
 		return false // the usual case; computing the rest costs CPU time
 	}
-	return silent > l.maxSilence(peers)+time.Duration(o.rank(group, peers, now))*rankDelay
+	return silence > l.maxSilence(peers)+time.Duration(o.rank(group, peers, now))*rankDelay
 }
 
 // shouldReclaim reports whether this process should claim a lease again that it already holds:
@@ -144,8 +144,8 @@
 	return eraOf(l.token) < o.Era() && !g.replacer.Busy()
 }
 
-// maxSilence is how long the holder may go unseen. In each round it notifies a limited number
-// of the gateways for its groups, and the others in later rounds.
+// maxSilence returns how long the holder may go unseen. In each round the holder notifies a
+// limited number of the gateways for its groups, and the others in later rounds.
 func (l *lease) maxSilence(peers []gossiper.Peer) time.Duration {
 	notified := 0
 	for _, p := range peers {
--- a/overseer/overseer.go
+++ b/overseer/overseer.go
@@ -21,8 +21,8 @@
 	tickInterval = 50 * time.Millisecond
 	// idleTickInterval applies while no group is relevant to this process.
 	idleTickInterval = 4 * tickInterval
-	// pauseThreshold is the time between two checks beyond which this process was paused: what
-	// it assumed about others is no longer valid.
+	// pauseThreshold is the time between two checks beyond which this process counts as having
+	// been paused: what it assumed about others is no longer valid.
 	pauseThreshold = 600 * time.Millisecond
 	// deadThreshold is how long the processes that vote must see the leader as dead before it
 	// is replaced.
@@ -42,17 +42,19 @@
 	// the change has not helped, and each one costs some statements.
 	minOverloadCooldown = 15 * time.Second
 	maxOverloadCooldown = 4 * time.Minute
-	// startupGracePeriod is the time after its start in which a process replaces no leader: it
-	// does not know its peers and the leaders yet.
+	// startupGracePeriod is the time after its start or a pause in which a process replaces no
+	// leader for a fault or overload: it does not know its peers and the leaders yet.
 	startupGracePeriod = 2 * time.Second
-	// reclaimDelay is how long a process that released a lease leaves it to others.
+	// reclaimDelay is how long a process that released a lease for another one to claim leaves
+	// it to the others.
 	reclaimDelay = 6 * time.Second
-	// stalledThreshold is how long a leader must have acknowledged no commit, while this
-	// process reaches none of the other upstreams, before it is demoted. It counts from when
-	// the leader is considered commit-stalled, 0.7 s after the first unacknowledged write.
+	// stalledThreshold is how long a leader must have acknowledged no commit before this
+	// process checks whether it reaches any of the other upstreams, and demotes the leader if
+	// not. The time counts from when the leader is considered commit-stalled, 0.7 s after the
+	// first unacknowledged write.
 	stalledThreshold = 500 * time.Millisecond
-	// partitionCheckInterval is the time between two such attempts, and partitionCheckTimeout
-	// how long each of the other upstreams has to answer first.
+	// partitionCheckInterval is the time between two such checks, and partitionCheckTimeout
+	// how long each upstream has to answer in one.
 	partitionCheckInterval = time.Second
 	partitionCheckTimeout  = 250 * time.Millisecond
 	// fenceInterval is the time between two attempts to demote an upstream that the lease
@@ -280,14 +282,14 @@
 
 // sendControl sends a control command to an upstream; the answer comes back as an event.
 func (o *Overseer) sendControl(ctx context.Context, g *group, id string, cmd carrier.Command) {
-	asked := o.Now()
+	requestedAt := o.Now()
 	go func() {
 		report, err := g.carrierGroup.Control(id, time.Now().Add(controlTimeout), cmd)
 		if err != nil {
 			o.Log.Info("overseer: control command to upstream failed", zap.String("group", g.carrierGroup.Name()), zap.String("upstream", id), zap.Error(err))
 		}
 		ev := replacer.UpstreamReport{
-			ID: id, RequestedAt: asked, OK: err == nil, Term: report.Term, Leads: report.Leads,
+			ID: id, RequestedAt: requestedAt, OK: err == nil, Term: report.Term, Leads: report.Leads,
 			Received: report.Received, SuspendedTerm: report.Held,
 		}
 		o.post(ctx, func(now time.Time) { o.execute(ctx, g, g.replacer.Handle(ev, now)) })
@@ -313,10 +315,10 @@
 }
 
 // onRejected releases the lease: the platform may have seen a higher token, and a rejected
-// token is never used again.
+// token is never used again. The lease may be claimed again at once, also by this process.
 func (o *Overseer) onRejected(g *group, order replacer.Order, now time.Time) {
 	if order.Token < g.lease.token || order.Token-g.lease.token >= replacer.TokenBlockSize {
-		return // of an earlier lease
+		return // the order belongs to an earlier lease
 	}
 	g.lease.token = 0
 	g.lease.nextClaim = now
--- a/overseer/view.go
+++ b/overseer/view.go
@@ -88,15 +88,15 @@
 
 		Partitioned: o.IsPartitioned != nil && o.IsPartitioned(),
 	}
-	for _, m := range seen.Upstreams {
-		v.Upstreams = append(v.Upstreams, replacer.Upstream{ID: m.ID, StartedAt: m.StartedAt, Leaving: m.Leaving, Unlisted: m.Unlisted})
+	for _, u := range seen.Upstreams {
+		v.Upstreams = append(v.Upstreams, replacer.Upstream{ID: u.ID, StartedAt: u.StartedAt, Leaving: u.Leaving, Unlisted: u.Unlisted})
 	}
 	return v
 }
 
 // shouldReplaceOverloaded reports whether the leader should be replaced because it is
-// overloaded and no replica can help. Upstreams apply commits in order, so that one replica
-// that lags on a single commit serves no reads until that commit is applied, long after the
+// overloaded and no replica can help. Upstreams apply commits in order, so a replica that
+// lags because of a single commit serves no reads until that commit is applied, long after the
 // cause of the lag has ended. The promoted replica leads with everything it has received, and
 // the former leader, whose log is complete, becomes a replica without lag.
 func (g *group) shouldReplaceOverloaded(seen carrier.Observation, now time.Time) bool {
--- a/replacer/abort.go
+++ b/replacer/abort.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// abort ends an attempt. Replicas that it suspended are left to the next attempt.
+// abort ends an attempt. Replicas that it suspended stay suspended for the next attempt.
 func (r *Replacer) abort(now time.Time, cause string) []Command {
 	r.enterPhase(idle, now)
 	r.nextAttempt = now.Add(attemptInterval)
@@ -13,9 +13,9 @@
 }
 
 // handOver releases the lease to a process that may reach the upstreams that do not answer
-// here. Suspended replicas resume, so the attempt must end with that: an answer still in
-// flight would count as that of a suspended replica. If no process claims the lease, another
-// attempt follows.
+// here. Suspended replicas resume, so the attempt must end as well: otherwise an answer still
+// in flight would count as that of a suspended replica. If no process claims the lease,
+// another attempt follows.
 func (r *Replacer) handOver(now time.Time) []Command {
 	out := []Command{LogStep{"resign", "", "cannot suspend from here: " + r.notSuspended()}}
 	r.enterPhase(idle, now)
@@ -35,11 +35,11 @@
 	return r.view.LeaderAnswers && !r.view.Dead
 }
 
-// abortAndResume ends the attempt before an order was sent and resumes replication, also of
-// the chosen replica: an earlier holder may have suspended it. A holder that was replaced
-// leaves that to the next holder, which may have suspended the replicas for an order that is
-// already accepted: a commit that one of them confirms then would be lost. A holder that has
-// just claimed the lease leaves it to cleanUp, for the same reason.
+// abortAndResume ends an attempt in which no order for the target was sent, and resumes
+// replication, also of the chosen replica: an earlier holder may have suspended it. A holder
+// that was replaced leaves that to the next holder, which may have suspended the replicas for
+// an order that is already accepted: a commit that one of them confirms then would be lost. A
+// holder that has just claimed the lease leaves it to cleanUp, for the same reason.
 func (r *Replacer) abortAndResume(now time.Time, cause string) []Command {
 	out := []Command{LogStep{"give up", r.target, cause}}
 	if r.view.Token == r.token && (r.tokenRegistered || now.Sub(r.leaseSince) >= cleanupDelay) {
@@ -90,8 +90,9 @@
 	return out
 }
 
-// notSuspended names the upstreams that must be suspended and have not confirmed it, for the
-// log: without it there is no way to tell which upstream delays a change of leader.
+// notSuspended names the upstreams that must be suspended and have not confirmed it; empty when
+// all have. The log needs the names: otherwise nothing shows which upstream delays a change of
+// leader.
 func (r *Replacer) notSuspended() string {
 	var out []string
 	for _, id := range r.suspendSet() {
--- a/replacer/doc.go
+++ b/replacer/doc.go
@@ -1,8 +1,8 @@
 // Package replacer decides how the leader of a database group is replaced when
 // upstreams confirm commits themselves and only the platform can promote.
 //
-// An acknowledged commit is in the log of the leader and of at least one replica, but it
-// is unknown of which. There are three ways to a new leader that has all such commits:
+// An acknowledged commit is in the log of the leader and of at least one replica, but which
+// replica is unknown. There are three ways to a new leader that has all such commits:
 //
 //   - Failover: the leader is dead. Replication is suspended at all replicas. Once each
 //     has confirmed that, nothing more can be acknowledged, and the replica with the
@@ -18,9 +18,10 @@
 //     is acknowledged. Its log has every acknowledged commit; a replica that has as much is
 //     promoted. If there is none, the old leader is promoted again.
 //
-// A failover needs replication suspended at all upstreams but one; one of those has the
-// commit that matters, no matter which upstream is missing. A former leader that answers
-// can stand in for a replica that does not.
+// In a failover one upstream may be missing: the leader that died, or another one when the
+// leader was only demoted. One of the suspended upstreams has the commit that matters, no
+// matter which one is missing. So a former leader that answers can stand in for a replica
+// that does not.
 //
 // An order to promote may be carried out seconds after it was sent, even if its answer
 // is lost. So once sent, an order is repeated for the same upstream until the platform
@@ -35,6 +36,6 @@
 //
 //	r := &replacer.Replacer{Group: name}
 //	for _, cmd := range r.Handle(replacer.Tick{View: view}, now) {
-//		run(cmd)
+//		execute(cmd)
 //	}
 package replacer
--- a/replacer/message.go
+++ b/replacer/message.go
@@ -6,21 +6,21 @@
 	"basildale.example/basildale/tracker"
 )
 
-// TokenBlockSize is how many fencing tokens a lease holder claims at a time: one for each
-// order that it issues. A new holder claims the next block, so a holder can act while the
-// store is unavailable; a change of leader uses one or two.
+// TokenBlockSize is how many fencing tokens a lease holder claims at a time: one for each copy
+// of an order that it sends. With a block a holder can act while the store is unavailable; a
+// new holder claims a higher block. A change of leader uses one or two tokens.
 const TokenBlockSize = 1 << 10
 
 // reservedTokens is how many tokens of a block retries of orders must leave for the new orders
 // of an attempt: two, and one for each 1.2 s in which earlier orders may still be in flight.
 const reservedTokens = 32
 
-// Order asks the platform to make an upstream the leader of its group.
+// Order requests that the platform make an upstream the leader of its group.
 type Order struct {
 	Group    string
 	Upstream string
-	// Token rises with each new order and each lease holder, so that the platform rejects late
-	// orders of earlier holders.
+	// Token rises with each copy of an order and each lease holder, so that the platform
+	// rejects delayed orders, also those of earlier holders.
 	Token uint64
 }
 
@@ -49,7 +49,7 @@
 	StartedAt time.Time
 	Leaving   bool
 	// Unlisted says that it is not in the store's list and the state of its log is unknown. It
-	// must be suspended like the others; it is never chosen as successor.
+	// must be suspended like the others; a planned change never chooses it as successor.
 	Unlisted bool
 }
 
@@ -120,14 +120,14 @@
 // Command is an action that the caller of Handle must execute.
 type Command interface{ command() }
 
-// Suspend tells an upstream to suspend replication until a leader of Term or above is
+// Suspend requests that an upstream suspend replication until a leader of Term or above is
 // promoted.
 type Suspend struct {
 	ID   string
 	Term tracker.Term
 }
 
-// Demote tells an upstream to stop being the leader, if it can be reached.
+// Demote requests that an upstream stop being the leader, if it can be reached.
 type Demote struct {
 	ID   string
 	Term tracker.Term
@@ -136,14 +136,14 @@
 // Poll requests the status of an upstream.
 type Poll struct{ ID string }
 
-// Resume tells an upstream to resume replication.
+// Resume requests that an upstream resume replication.
 type Resume struct{ ID string }
 
 // Promote sends an order to the platform.
 type Promote struct{ Order Order }
 
 // ReleaseLease releases the lease so that another process claims it: this process cannot reach
-// all replicas, and another one may.
+// all replicas, and another one may; or it has used up its tokens.
 type ReleaseLease struct{}
 
 // LogStep is a line for the log. The auditor matches some of the steps, so their texts stay.
--- a/replacer/order.go
+++ b/replacer/order.go
@@ -26,8 +26,8 @@
 }
 
 // sendOrder sends a new order. Each one has its own token: an unanswered order may be carried
-// out seconds later, and with the token of the next order it would depose the leader that this
-// one made. Commits that were acknowledged since would be lost.
+// out seconds later, and if it had the same token as the next order it would depose the leader
+// that the next one made. Commits that were acknowledged since would be lost.
 func (r *Replacer) sendOrder(upstream, step, cause string, now time.Time) []Command {
 	r.lastOrder = Order{Group: r.Group, Upstream: upstream, Token: r.token + r.usedTokens}
 	r.firstToken, r.ordersDoneAt = r.lastOrder.Token, time.Time{}
@@ -37,12 +37,12 @@
 }
 
 // retryOrder sends an unanswered order again. The target stays the same: the first copy may
-// still be carried out, and two different targets in turn could lose commits. But each copy
-// has its own token, so that the platform rejects the earlier copies once it has seen this
-// one. A copy that is carried out seconds late makes its upstream the leader again, after it
-// has lost the lead and before the platform sees the next order, and commits that it confirmed
-// then are lost: in 7 of 30,000 simulated histories with one token for all copies, in 4 with
-// one token each.
+// still be carried out, and two different targets in turn could lose commits. But each copy has
+// its own token, as long as more than the reserved ones are left, so that the platform rejects
+// the earlier copies once it has seen this one. A copy that is carried out seconds late makes
+// its upstream the leader again, if that happens after the upstream stopped leading and before
+// the platform sees the next order, and commits that it confirmed then are lost: in 7 of 30,000
+// simulated histories with one token for all copies, in 4 with one token each.
 func (r *Replacer) retryOrder(now time.Time) []Command {
 	if r.view.Token != r.token {
 		// Another holder may have chosen a target by now, and suspended or resumed replicas
@@ -61,8 +61,8 @@
 	return []Command{Promote{Order: r.lastOrder}}
 }
 
-// IsLatestOrder reports whether an order is the one that was sent last. Only its rejection
-// means that another process holds the lease: earlier ones are rejected because of it.
+// IsLatestOrder reports whether an order is the copy that was sent last. Only its rejection can
+// mean that another process holds the lease: earlier copies are rejected because of this one.
 func (r *Replacer) IsLatestOrder(o Order) bool { return o == r.lastOrder }
 
 // isCurrentOrder reports whether an order is a copy of the current order.
--- a/replacer/plan.go
+++ b/replacer/plan.go
@@ -20,8 +20,8 @@
 	return r.startProbe(now, cause)
 }
 
-// successors lists the replicas that may be promoted in a planned change: those that are not
-// leaving.
+// successors lists the replicas that may be promoted in a planned change: those that are listed
+// and not leaving.
 func (r *Replacer) successors(leader string) []string {
 	var out []string
 	for _, u := range r.view.Upstreams {
@@ -32,7 +32,7 @@
 	return out
 }
 
-// startProbe starts looking for a successor.
+// startProbe starts to wait for a replica that can succeed the leader.
 func (r *Replacer) startProbe(now time.Time, cause string) []Command {
 	r.target = ""
 	r.enterPhase(probing, now)
@@ -132,9 +132,9 @@
 }
 
 // awaitOrders waits until no earlier order can take effect any more. An order to promote this
-// leader, even one accepted while it led, would make it the leader again after it was demoted:
-// it was seen leading for 20 ms, and commits that an unreachable replica confirms in that time
-// are lost. Missing replicas may answer in the meantime.
+// leader, even one accepted while it led, would make it the leader again after it was demoted.
+// Such a leader was seen leading for 20 ms, and commits that an unreachable replica confirms in
+// that time are lost. Missing replicas may answer in the meantime.
 func (r *Replacer) awaitOrders(now time.Time) []Command {
 	if r.isObsolete() {
 		return r.abortAndResume(now, "the leader changed or is gone")
--- a/replacer/replacer.go
+++ b/replacer/replacer.go
@@ -16,7 +16,7 @@
 	// promoteTimeout is how long an accepted order may take until the upstream is seen as
 	// leader: promoting takes 300 to 1,000 ms.
 	promoteTimeout = 2500 * time.Millisecond
-	// probeTimeout is how long a planned change looks for a replica that has what the leader
+	// probeTimeout is how long a planned change waits for a replica that has what the leader
 	// had a moment before. No replica is suspended in that time.
 	probeTimeout = 2 * time.Second
 	// suspendTimeout is how long the other replicas of a planned change have to confirm that
@@ -25,7 +25,7 @@
 	suspendTimeout = 300 * time.Millisecond
 	// catchUpTimeout is how long the chosen replica may take to receive the rest of the log
 	// while the others are suspended. A replica that receives lags by a few ms; one that no
-	// longer does delays every commit of the group for this time.
+	// longer receives delays every commit of the group for this time.
 	catchUpTimeout = 500 * time.Millisecond
 	// stepDownTimeout is how long a leader may take to be demoted, and the chosen replica to
 	// receive what was in flight then. The group has no leader in that time.
@@ -35,15 +35,15 @@
 	// partitioned or has just claimed the lease would suspend the replicas of a group that
 	// works.
 	verifyTimeout = 100 * time.Millisecond
-	// maxOrderEffectDelay is how long after it was accepted an order may take effect:
+	// maxOrderEffectDelay is the longest time from the acceptance of an order to its effect:
 	// promoting takes 300 to 1,000 ms. An order for the present leader changes nothing, unless
-	// that has been demoted in the meantime.
+	// the leader has been demoted in the meantime.
 	maxOrderEffectDelay = 1200 * time.Millisecond
 	// fenceTimeout is how long peers that reach the leader have to demote it: a round of
 	// gossip there, and one back.
 	fenceTimeout = 1200 * time.Millisecond
-	// joinGracePeriod is how long, after such a peer was last seen, the list is watched for a
-	// replica that has just joined on the leader's side.
+	// joinGracePeriod is how long, after a peer that reaches the leader was last seen, the list
+	// of upstreams is checked for a replica that has just joined on the leader's side.
 	joinGracePeriod = 300 * time.Millisecond
 	// handOverTimeout is how long a lease holder tries to suspend all replicas before it
 	// leaves the lease to another process.
@@ -62,7 +62,7 @@
 	idle             phase = iota
 	verifying              // the leader that seems dead is polled once more
 	registeringToken       // planned: the platform is made to reject the orders of earlier holders
-	probing                // planned: looking for a replica that receives
+	probing                // planned: waiting for a replica that has received what the leader had
 	suspending             // replication is being suspended at the replicas
 	fencing                // peers that reach the leader demote it
 	awaitingOrders         // planned, not all suspended: waiting until no earlier order can take effect any more
@@ -91,7 +91,7 @@
 	states          map[string]*upstreamState
 	reportsSince    time.Time // reports on earlier requests do not count
 	phaseStart      time.Time // when the phase began
-	earliestChoice  time.Time // failover: no replica is chosen before
+	earliestChoice  time.Time // failover: no replica is chosen before this time
 	lastOrder       Order     // the last copy sent
 	firstToken      uint64    // token of the first copy of lastOrder
 	ordersDoneAt    time.Time // from when no order can take effect any more; zero while unknown
@@ -120,8 +120,8 @@
 }
 
 // forgetRestarted drops the reports of upstreams that have restarted. A restart ends a
-// suspension and may lose the log. Otherwise a replica that counts as suspended could confirm
-// commits, or be chosen by a log position that it no longer has.
+// suspension and may lose the log: with its old report a replica that counts as suspended could
+// confirm commits, or be chosen by a log position that it no longer has.
 func (r *Replacer) forgetRestarted(upstreams []Upstream) {
 	for _, u := range upstreams {
 		for _, before := range r.view.Upstreams {
@@ -161,7 +161,8 @@
 	}
 }
 
-// start starts a replacement when there is a reason and this process holds the lease.
+// start starts a replacement when there is a reason and this process holds the lease. A holder
+// without a reason cleans up after earlier holders, and one without tokens releases the lease.
 func (r *Replacer) start(now time.Time) []Command {
 	if r.view.Token == 0 || now.Before(r.nextAttempt) || len(r.view.Upstreams) < 2 {
 		return nil
--- a/replacer/replacer_test.go
+++ b/replacer/replacer_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Guards against the same loss: the leader dies while a replica cannot be reached or is not
-// listed, and the rest is taken for all replicas.
+// Guards against the loss of an acknowledged commit in a failover: the leader dies while a
+// replica cannot be reached or is not listed, and the rest is taken for all replicas.
 func TestEveryReplicaMustBeSuspended(t *testing.T) {
 	is := is.New(t)
 	for _, unlisted := range []bool{false, true} {
@@ -141,10 +141,10 @@
 	}
 }
 
-// Guards against the same loss: a lease holder stops waiting for the platform's answer and
-// chooses a new target, and the first order is carried out late. Or it sends the first order
-// again, and that is carried out twice, the second time after its upstream was demoted: if
-// both copies had the same token, the platform would reject neither.
+// Guards against the loss of an acknowledged commit in a failover: a lease holder stops waiting
+// for the platform's answer and chooses a new target, and the first order is carried out late.
+// Or it sends the first order again, and that is carried out twice, the second time after its
+// upstream was demoted: if both copies had the same token, the platform would reject neither.
 func TestOrderIsRetriedForTheSameUpstream(t *testing.T) {
 	is := is.New(t)
 	s := newHarness()
@@ -288,8 +288,8 @@
 }
 
 // Guards against a new leader that lacks commits of an upstream that is gone for good: a
-// replica is off the list for long, then the leader dies. Not only the absence of the replica
-// counts, but also what the leader has confirmed since.
+// replica has been off the list for a long time, then the leader dies. Not only the absence of
+// the replica counts, but also what the leader has confirmed since.
 func TestNewLeaderReachesMinReceived(t *testing.T) {
 	is := is.New(t)
 	s := newHarness()
--- a/replacer/simulation_test.go
+++ b/replacer/simulation_test.go
@@ -42,8 +42,8 @@
 	downUntil     time.Time // zero when it is up
 	stalledUntil  time.Time
 	leaving       bool
-	formerIDs     []string // former ids, and since when it has the present one
-	idSince       time.Time
+	formerIDs     []string
+	idSince       time.Time // since when it has its present id
 }
 
 // simProcess is one proxy that may hold the lease.
@@ -59,8 +59,8 @@
 // simOrder is a promotion in flight.
 type simOrder struct {
 	Order
-	by int
-	at time.Time
+	by int       // index of the process that sent it
+	at time.Time // when it takes effect
 }
 
 // simulation is a group of three upstreams, three processes and a platform.
@@ -75,8 +75,8 @@
 	term             uint32
 	procs            [numProcesses]*simProcess
 	issuedToken      uint64 // first token of the highest block that was claimed
-	platformToken    uint64 // highest token that the platform has seen, and from which process
-	platformTokenBy  int
+	platformToken    uint64 // highest token that the platform has seen
+	platformTokenBy  int    // index of the process that sent platformToken
 	orders           []simOrder
 	lastCommit       int
 	idCount          int
--- a/replacer/suspend.go
+++ b/replacer/suspend.go
@@ -133,7 +133,7 @@
 // allButOneSuspended reports whether all upstreams but one are suspended. An acknowledged
 // commit is on at least two of them, so one of the suspended ones has it, whichever is
 // missing: the leader that died, or another one when the leader was only demoted. A leader
-// that is no longer an upstream of the group is the missing one.
+// that is no longer an upstream of the group is the missing one: all others must be suspended.
 func (r *Replacer) allButOneSuspended() bool {
 	missing, maxMissing := 0, 0
 	for _, u := range r.view.Upstreams {
@@ -198,8 +198,8 @@
 	return out
 }
 
-// suspendJoined does the same while an order is in flight, unless the leader was demoted
-// first: then no upstream can confirm anything.
+// suspendJoined suspends the remaining replicas while an order is in flight, unless the leader
+// was demoted first: then no upstream can confirm anything.
 func (r *Replacer) suspendJoined(now time.Time) []Command {
 	if r.partial {
 		return nil
@@ -207,8 +207,8 @@
 	return r.suspendRemaining(now)
 }
 
-// FenceTarget returns the upstream that peers should demote, and the term for which; empty
-// when there is none.
+// FenceTarget returns the upstream that peers should demote, and the term of the demotion. The
+// upstream is empty when there is none.
 func (r *Replacer) FenceTarget() (string, tracker.Term) {
 	if r.phase != fencing && (r.planned || r.phase != promoting) {
 		return "", tracker.Term{}
@@ -216,8 +216,9 @@
 	return r.oldLeader, r.term
 }
 
-// promoteFurthest promotes the suspended upstream with the longest log. Among equals it
-// prefers one that is not leaving and is not the former leader.
+// promoteFurthest promotes the suspended upstream with the longest log, once that reaches the
+// view's MinReceived. Among equals it prefers one that is not leaving and is not the former
+// leader.
 func (r *Replacer) promoteFurthest(now time.Time) []Command {
 	r.target = ""
 	var best *upstreamState
