--- a/forwarder/message.go
+++ b/forwarder/message.go
@@ -35,7 +35,7 @@
 	Workspace    string              `json:"workspace,omitempty"`
 	Freshness    cataloger.Freshness `json:"freshness,omitempty"`
 	MaxStaleness time.Duration       `json:"maxage,omitempty"`
-	Own          tracker.Mark        `json:"own,omitzero"`
+	LastWrite    tracker.Mark        `json:"own,omitzero"`
 	Writes       bool                `json:"writes,omitempty"`
 	// Age is how long ago the operation arrived, Left the time left until its deadline.
 	Age  time.Duration `json:"age,omitempty"`
@@ -59,7 +59,7 @@
 // newRequest returns the request for a job.
 func newRequest(a action, group string, j *carrier.Job, cmd carrier.Command, now time.Time) request {
 	return request{
-		Action: a, Group: group, Request: j.Request, Workspace: j.Workspace, Freshness: j.Freshness, MaxStaleness: j.MaxStaleness, Own: j.LastWrite, Writes: j.Writes,
+		Action: a, Group: group, Request: j.Request, Workspace: j.Workspace, Freshness: j.Freshness, MaxStaleness: j.MaxStaleness, LastWrite: j.LastWrite, Writes: j.Writes,
 		Age: now.Sub(j.Arrived), Left: time.Until(j.Deadline), Objective: j.ObjectiveAt.Sub(now), Values: j.Values, Prepared: j.Prepared, Command: cmd,
 	}
 }
@@ -68,7 +68,7 @@
 // counts as younger than it is, which requires fresher data, never older.
 func (r *request) job(now time.Time) *carrier.Job {
 	return &carrier.Job{
-		Request: r.Request, Workspace: r.Workspace, Freshness: r.Freshness, MaxStaleness: r.MaxStaleness, LastWrite: r.Own, Writes: r.Writes,
+		Request: r.Request, Workspace: r.Workspace, Freshness: r.Freshness, MaxStaleness: r.MaxStaleness, LastWrite: r.LastWrite, Writes: r.Writes,
 		Arrived: now.Add(-r.Age), ObjectiveAt: now.Add(r.Objective), Deadline: time.Now().Add(r.Left), Values: r.Values, Prepared: r.Prepared,
 	}
 }
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -185,8 +185,8 @@
 	g.roster.SetGroupPeers(names)
 }
 
-// Live returns the peers from which a state was received lately.
-func (g *Gossiper) Live() []Peer {
+// LivePeers returns the peers from which a state was received lately.
+func (g *Gossiper) LivePeers() []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.roster.Live(g.Now())
--- a/gossiper/targets.go
+++ b/gossiper/targets.go
@@ -29,9 +29,9 @@
 	for _, p := range r.sorted {
 		recent := r.lastSweep.Sub(p.LastSeen) < aliveTimeout // an older state need not hold any more
 		switch {
-		case recent && HoldsLeaseFor(p.State, self):
+		case recent && SharesLeasedGroup(p.State, self):
 			holders = append(holders, p.GossipAddr)
-		case recent && HoldsLeaseFor(self, p.State):
+		case recent && SharesLeasedGroup(self, p.State):
 			leaseGateways = append(leaseGateways, p.GossipAddr)
 		case fullMesh || r.groupPeers[p.Name] || r.wronglySuspected[p.Name] || recent && shareGroup(self, p.State):
 			gateways = append(gateways, p.GossipAddr)
@@ -79,9 +79,9 @@
 	return targets
 }
 
-// HoldsLeaseFor reports whether holder has the lease of a group that peer is a gateway
+// SharesLeasedGroup reports whether holder has the lease of a group that peer is a gateway
 // of.
-func HoldsLeaseFor(holder, peer State) bool {
+func SharesLeasedGroup(holder, peer State) bool {
 	if len(peer.Groups) == 0 {
 		return false
 	}
--- a/overseer/lease.go
+++ b/overseer/lease.go
@@ -149,7 +149,7 @@
 func (l *lease) maxSilence(peers []gossiper.Peer) time.Duration {
 	notified := 0
 	for _, p := range peers {
-		if gossiper.HoldsLeaseFor(l.lastHolder, p.State) {
+		if gossiper.SharesLeasedGroup(l.lastHolder, p.State) {
 			notified++
 		}
 	}
--- a/proxier/share.go
+++ b/proxier/share.go
@@ -110,7 +110,7 @@
 func (p *Proxier) gateways(group string) []forwarder.Candidate {
 	assigned := p.assignedGateways.Load()
 	if assigned == nil || (*assigned)[group] == nil {
-		return gatewaysAmong(group, p.gossip.Live(), bootClock())
+		return gatewaysAmong(group, p.gossip.LivePeers(), bootClock())
 	}
 	return gatewaysAmong(group, p.gossip.ReachablePeers((*assigned)[group]), bootClock())
 }
--- a/throttler/node_test.go
+++ b/throttler/node_test.go
@@ -163,7 +163,7 @@
 
 // Guards against a fleet that starts for the first time, in which each process takes
 // itself for the only one and grants the whole quota.
-func TestNodeWithPartialFleetMakesNoTokens(t *testing.T) {
+func TestNodeWithPartialFleetCreditsNothing(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	n := Node{Self: "a", Tolerance: tolerance, StartedAt: now}
